--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -35,7 +35,7 @@
     """Decodes a registration."""
     found = decoding.replica("i-1", value)
     assert isinstance(found.slots, int) and found.slots >= 1, found
-    assert isinstance(found.born, int) and found.service, found
+    assert isinstance(found.started_at, int) and found.service, found
 
 
 def entry_of(value):
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -94,7 +94,7 @@
         """Reads a prompt."""
         self.calls.append("prompt")
         return types.Handle(
-            replica.instance, replica.address, "h", replica.born
+            replica.instance, replica.address, "h", replica.started_at
         )
 
     async def send(
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -97,9 +97,9 @@
     def learn(self, caches: questions_module.CacheLinks) -> None:
         """Takes in what the relay believes that one engine keeps."""
         replica = self.directory.replicas.get(caches.engine)
-        if replica is None or births.later(caches.born, replica.born):
+        if replica is None or births.later(caches.born, replica.started_at):
             return
-        if births.later(replica.born, caches.born):
+        if births.later(replica.started_at, caches.born):
             return
         service = self.service(replica)
         if service is None:
@@ -120,7 +120,7 @@
                 continue
             found.append(
                 questions_module.CacheLinks(
-                    engine, replica.born, list(kept), list(kept.values())
+                    engine, replica.started_at, list(kept), list(kept.values())
                 )
             )
         return ENCODER.encode(found)
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -75,11 +75,13 @@
 
     def put(self, replica: types.Replica) -> None:
         """Takes a registration in; a late one of an earlier start is none."""
-        if not self.births.newest(replica.instance, replica.born):
+        if not self.births.newest(replica.instance, replica.started_at):
             return
         old = self.replicas.get(replica.instance)
-        if old is not None and births_module.later(replica.born, old.born):
-            self.restarted(old, replica.born)
+        if old is not None and births_module.later(
+            replica.started_at, old.started_at
+        ):
+            self.restarted(old, replica.started_at)
             old = None
         self.replicas[replica.instance] = replica
         self.lapsing.pop(replica.instance, None)
@@ -110,7 +112,9 @@
         if not self.births.newest(instance, state.born):
             return False
         replica = self.replicas.get(instance)
-        if replica is None or not births_module.later(state.born, replica.born):
+        if replica is None or not births_module.later(
+            state.born, replica.started_at
+        ):
             return True
         self.restarted(replica, state.born)
         self.replicas[instance] = replica._replace(
@@ -124,7 +128,7 @@
             events.REPLICA_RESTARTED,
             instance=replica.instance,
             service=replica.service,
-            before=replica.born,
+            before=replica.started_at,
             born=born,
         )
         for listener in self.crashed:
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -272,7 +272,7 @@
                     reason=repr(error),
                 )
                 continue
-            if births.later(state.born, replica.born):
+            if births.later(state.born, replica.started_at):
                 # It has started again and knows of no order.
                 self.directory.said(replica.instance, state)
                 return
--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -245,7 +245,7 @@
         if handle is None:
             return
         replica = self.directory.replicas.get(handle.engine)
-        if replica is None or not births.later(replica.born, handle.born):
+        if replica is None or not births.later(replica.started_at, handle.born):
             return
         progress.handle = None
         if may_repeat():
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -259,7 +259,7 @@
     def crashed(self, crash: runs_module.Crash) -> None:
         """Takes in a crash that interrupted runs of this node."""
         replica = crashes_module.Incarnation(
-            crash.replica.instance, crash.replica.born
+            crash.replica.instance, crash.replica.started_at
         )
         now = time.monotonic()
         for run in crash.runs:
--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -68,7 +68,7 @@
     draining: bool
     role: types.Role | None = None
     orders: int = 0
-    born: int = 0
+    started_at: int = 0
 
 
 class Service(NamedTuple):
--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -141,7 +141,7 @@
         draining=record.state == names.DRAINING,
         role=names.ROLES.get(record.stage),
         orders=record.orders,
-        born=record.born or 0,
+        started_at=record.born or 0,
     )
 
 
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -102,7 +102,7 @@
         except exceptions.RecordInvalid as error:
             raise exceptions.AnswerBroken(str(error)) from error
         return types.Handle(
-            replica.instance, replica.address, handle, replica.born
+            replica.instance, replica.address, handle, replica.started_at
         )
 
     async def drop(self, replica: types.Replica, handle: types.Handle) -> None:
