--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -245,7 +245,9 @@
         if handle is None:
             return
         replica = self.directory.replicas.get(handle.engine)
-        if replica is None or not births.later(replica.started_at, handle.born):
+        if replica is None or not births.later(
+            replica.started_at, handle.started_at
+        ):
             return
         progress.handle = None
         if may_repeat():
--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -137,7 +137,7 @@
     engine: str
     address: str
     id: str
-    born: int = 0
+    started_at: int = 0
 
 
 class Instructions(NamedTuple):
