--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -109,16 +109,16 @@
         Returns:
             Whether what it says beside is of its newest start.
         """
-        if not self.births.newest(instance, state.born):
+        if not self.births.newest(instance, state.started_at):
             return False
         replica = self.replicas.get(instance)
         if replica is None or not births_module.later(
-            state.born, replica.started_at
+            state.started_at, replica.started_at
         ):
             return True
-        self.restarted(replica, state.born)
+        self.restarted(replica, state.started_at)
         self.replicas[instance] = replica._replace(
-            born=state.born, role=state.role, orders=state.orders
+            born=state.started_at, role=state.role, orders=state.orders
         )
         return True
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -198,7 +198,7 @@
     orders: int
     queued: int
     running: int
-    born: int = 0
+    started_at: int = 0
 
 
 class Order(NamedTuple):
