--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -221,7 +221,7 @@
     """The parts of prompts that an engine keeps, and when it was started."""
 
     parts: list[chains.Part]
-    born: int = 0
+    started_at: int = 0
 
 
 class Endpoints(Protocol):
