--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -167,5 +167,5 @@
             return
         self.homes.memory = service.cache_tokens
         self.homes.caches.add_parts(
-            replica.instance, found.parts, service.cache_tokens
+            replica.instance, found.blocks, service.cache_tokens
         )
