--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -227,7 +227,7 @@
 class Endpoints(Protocol):
     """Calls to replicas."""
 
-    def connected(self, replica: Replica) -> bool:
+    def is_connected(self, replica: Replica) -> bool:
         """Whether a call would find a connection open."""
 
     async def send(
