--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -237,7 +237,7 @@
             connection.spoil()
         return await self.open(address)
 
-    def connected(self, replica: types.Replica) -> bool:
+    def is_connected(self, replica: types.Replica) -> bool:
         """Whether a request to a replica would find a connection open."""
         kept = self.idle.get((replica.address, replica.instance))
         return bool(kept) and kept[-1].fresh(time.monotonic())
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -30,7 +30,7 @@
 
     def connected(self, replica: types.Replica) -> bool:
         """Whether a call would find a connection open."""
-        return self.pool.connected(replica)
+        return self.pool.is_connected(replica)
 
     async def send(
         self,
