--- a/packages/gypsumfold/src/gypsumfold/gateway/counters.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/counters.py
@@ -5,7 +5,20 @@
 
 # Upper bounds of the latency histograms in seconds: finer around the
 # objectives of urgent requests (0.1 to 0.8 s) than beyond.
-BUCKETS = (0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 4.0, 8.0)
+LATENCY_BUCKETS_SECONDS = (
+    0.02,
+    0.05,
+    0.1,
+    0.15,
+    0.2,
+    0.3,
+    0.5,
+    0.8,
+    1.2,
+    2.0,
+    4.0,
+    8.0,
+)
 
 
 class Counters:
@@ -27,7 +40,7 @@
             "gypsumfold_request_seconds",
             "From a request's head to its final answer's end.",
             ("route",),
-            buckets=BUCKETS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=self.registry,
         )
         self.open_requests = prometheus_client.Gauge(
