--- a/packages/gypsumfold/src/gypsumfold/gateway/counters.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/counters.py
@@ -87,7 +87,7 @@
             registry=self.registry,
         )
 
-    def ended(self, route: str, outcome: str, seconds: float) -> None:
+    def count_answer(self, route: str, outcome: str, seconds: float) -> None:
         """Counts one final answer."""
         self.requests.labels(route, outcome).inc()
         self.seconds.labels(route).observe(seconds)
