--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -25,7 +25,7 @@
 class Observer(Protocol):
     """Counts final answers."""
 
-    def ended(self, route: str, outcome: str, seconds: float) -> None:
+    def count_answer(self, route: str, outcome: str, seconds: float) -> None:
         """Takes one final answer in."""
 
 
@@ -96,7 +96,7 @@
             raise
         finally:
             seconds = time.monotonic() - call.arrival
-            self.observer.ended(route.name, outcome, seconds)
+            self.observer.count_answer(route.name, outcome, seconds)
             events.log(
                 events.CALL_ENDED,
                 request=call.id,
