--- a/packages/gypsumfold/src/gypsumfold/gateway/counters.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/counters.py
@@ -64,7 +64,7 @@
             "1 where this node reads the store and tells others, else 0.",
             registry=self.registry,
         )
-        self.knowledge_age = prometheus_client.Gauge(
+        self.registrations_age = prometheus_client.Gauge(
             "gypsumfold_registrations_age_seconds",
             "Age of what this node knows of replicas, at the worst.",
             registry=self.registry,
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -370,7 +370,7 @@
         age = self.watches["registrations"].following.age(clocks.now())
         self.counters.nodes.set(self.gossip.nodes())
         self.counters.relays.set(int(self.gossip.reads()))
-        self.counters.knowledge_age.set(age)
+        self.counters.registrations_age.set(age)
         crashes = self.quarantine.log
         self.counters.suspects.set(len(crashes.suspected))
         self.counters.quarantined.set(len(crashes.quarantined))
