--- a/packages/gypsumfold/src/gypsumfold/gateway/counters.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/counters.py
@@ -69,7 +69,7 @@
             "Age of what this node knows of replicas, at the worst.",
             registry=self.registry,
         )
-        self.suspects = prometheus_client.Gauge(
+        self.suspected = prometheus_client.Gauge(
             "gypsumfold_suspected_requests",
             "Requests that a replica's crash interrupted and that have not run "
             "to their end since.",
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -372,7 +372,7 @@
         self.counters.relays.set(int(self.gossip.reads()))
         self.counters.registrations_age.set(age)
         crashes = self.quarantine.log
-        self.counters.suspects.set(len(crashes.suspected))
+        self.counters.suspected.set(len(crashes.suspected))
         self.counters.quarantined.set(len(crashes.quarantined))
         for call, count in self.store.calls.items():
             self.counters.store_calls.labels(call).set(count)
