--- a/packages/gypsumfold/src/gypsumfold/gateway/lines.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/lines.py
@@ -4,7 +4,7 @@
 import os
 
 # Bytes of lines that wait for a slow reader; a minute of a busy node.
-MOST_WAITING = 512 * 1024
+MAX_PENDING_BYTES = 512 * 1024
 
 
 class BoundedLines:
@@ -27,7 +27,7 @@
     def write(self, text: str) -> None:
         """Writes a piece of text, or keeps it, or drops it."""
         data = text.encode()
-        if self.size + len(data) > MOST_WAITING:
+        if self.size + len(data) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
         self.waiting.append(data)
