--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -150,7 +150,9 @@
                 )
             )
             self.gateway = gateway_module.Gateway(
-                settings, pathlib.Path(__file__), lines.BoundedLines(descriptor)
+                settings,
+                pathlib.Path(__file__),
+                lines.NonBlockingLineWriter(descriptor),
             )
         self.gateway.gossip.sender.transport = self
         self.gateway.questions.ask = self.ask
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -72,7 +72,7 @@
         self,
         settings: settings_module.Settings,
         path: pathlib.Path,
-        lines: lines_module.BoundedLines,
+        lines: lines_module.NonBlockingLineWriter,
     ):
         self.settings = settings
         self.path = path
--- a/packages/gypsumfold/src/gypsumfold/gateway/lines.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/lines.py
@@ -7,7 +7,7 @@
 MAX_PENDING_BYTES = 512 * 1024
 
 
-class BoundedLines:
+class NonBlockingLineWriter:
     """A stream of lines that drops new ones while too many wait.
 
     Attributes:
--- a/packages/gypsumfold/src/gypsumfold/gateway/main.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/main.py
@@ -33,7 +33,7 @@
     except exceptions.SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_SETTINGS)
-    lines = lines_module.BoundedLines(sys.stdout.fileno())
+    lines = lines_module.NonBlockingLineWriter(sys.stdout.fileno())
     events.configure(settings.node.name, lines)
     uvloop.run(serve(settings, file, lines))
 
@@ -41,7 +41,7 @@
 async def serve(
     settings: settings_module.Settings,
     file: pathlib.Path,
-    lines: lines_module.BoundedLines,
+    lines: lines_module.NonBlockingLineWriter,
 ) -> None:
     """Runs a gateway; the first signal begins its graceful shutdown."""
     gateway = gateway_module.Gateway(settings, file, lines)
