--- a/packages/gypsumfold/src/gypsumfold/gateway/lines.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/lines.py
@@ -19,7 +19,7 @@
 
     def __init__(self, descriptor: int):
         self.descriptor = descriptor
-        self.waiting: collections.deque[bytes] = collections.deque()
+        self.pending: collections.deque[bytes] = collections.deque()
         self.size = 0
         self.dropped = 0
         os.set_blocking(descriptor, False)
@@ -30,20 +30,20 @@
         if self.size + len(data) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
-        self.waiting.append(data)
+        self.pending.append(data)
         self.size += len(data)
         self.flush()
 
     def flush(self) -> None:
         """Writes as much as is taken at once."""
-        while self.waiting:
-            data = self.waiting[0]
+        while self.pending:
+            data = self.pending[0]
             try:
                 written = os.write(self.descriptor, data)
             except BlockingIOError:
                 return
             self.size -= written
             if written < len(data):
-                self.waiting[0] = data[written:]
+                self.pending[0] = data[written:]
                 return
-            self.waiting.popleft()
+            self.pending.popleft()
