--- a/packages/gypsumfold/src/gypsumfold/gateway/lines.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/lines.py
@@ -20,18 +20,18 @@
     def __init__(self, descriptor: int):
         self.descriptor = descriptor
         self.pending: collections.deque[bytes] = collections.deque()
-        self.size = 0
+        self.pending_bytes = 0
         self.dropped = 0
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
         """Writes a piece of text, or keeps it, or drops it."""
         data = text.encode()
-        if self.size + len(data) > MAX_PENDING_BYTES:
+        if self.pending_bytes + len(data) > MAX_PENDING_BYTES:
             self.dropped += 1
             return
         self.pending.append(data)
-        self.size += len(data)
+        self.pending_bytes += len(data)
         self.flush()
 
     def flush(self) -> None:
@@ -42,7 +42,7 @@
                 written = os.write(self.descriptor, data)
             except BlockingIOError:
                 return
-            self.size -= written
+            self.pending_bytes -= written
             if written < len(data):
                 self.pending[0] = data[written:]
                 return
