--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -19,7 +19,7 @@
 
 # Seconds after which a caller may come back to a node that knows no
 # configuration yet; it has one a few milliseconds after the store answers.
-STARTING = 0.3
+NO_CONFIGURATION_RETRY_SECONDS = 0.3
 
 
 class Observer(Protocol):
@@ -62,7 +62,7 @@
             raise exceptions.Unavailable(
                 "the node has no configuration yet",
                 outcomes.Outcome.NOT_RUN,
-                STARTING,
+                NO_CONFIGURATION_RETRY_SECONDS,
             )
         route = configuration.routes.match(call.host, call.target)
         if route is None:
