--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -84,7 +84,9 @@
         outcome = "cancelled"
         reason = ""
         try:
-            await self.within(configuration, route, service, reply, progress)
+            await self.serve_until_deadline(
+                configuration, route, service, reply, progress
+            )
             outcome = "complete"
         except exceptions.RequestError as error:
             outcome = error.outcome
@@ -110,7 +112,7 @@
                 runs=progress.runs,
             )
 
-    async def within(
+    async def serve_until_deadline(
         self,
         configuration: types.Configuration,
         route: routes.Route,
