--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -21,7 +21,7 @@
 # Times the expected seconds after which a prompt is read elsewhere, and the
 # least that it is given: a burst of long prompts queues for about as long.
 PREFILL_TIMEOUT_FACTOR = 4.0
-LEAST_PATIENCE = 3.0
+MIN_PREFILL_TIMEOUT_SECONDS = 3.0
 # Seconds between two looks whether an engine gives no sign of life.
 SUSPECT_LOOK = 0.1
 # Seconds for freeing a KV cache; it lapses by itself after a few.
@@ -208,7 +208,9 @@
             TimeoutError: The engine has finished nothing for too long.
             exceptions.EndpointError: It failed.
         """
-        patience = max(LEAST_PATIENCE, PREFILL_TIMEOUT_FACTOR * choice.reading)
+        patience = max(
+            MIN_PREFILL_TIMEOUT_SECONDS, PREFILL_TIMEOUT_FACTOR * choice.reading
+        )
         started = time.monotonic()
         self.directory.started(choice.engine, started)
         task = asyncio.ensure_future(prefill)
