--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -23,7 +23,7 @@
 PREFILL_TIMEOUT_FACTOR = 4.0
 MIN_PREFILL_TIMEOUT_SECONDS = 3.0
 # Seconds between two looks whether an engine gives no sign of life.
-SUSPECT_LOOK = 0.1
+SUSPECT_CHECK_INTERVAL = 0.1
 # Seconds for freeing a KV cache; it lapses by itself after a few.
 FREE_LIMIT = 1.0
 
@@ -222,7 +222,7 @@
                 if left <= 0 or choice.engine in self.directory.suspects:
                     raise TimeoutError
                 done, _ = await asyncio.wait(
-                    [task], timeout=min(left, SUSPECT_LOOK)
+                    [task], timeout=min(left, SUSPECT_CHECK_INTERVAL)
                 )
                 if done:
                     return task.result()
