--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -25,7 +25,7 @@
 # Seconds between two looks whether an engine gives no sign of life.
 SUSPECT_CHECK_INTERVAL = 0.1
 # Seconds for freeing a KV cache; it lapses by itself after a few.
-FREE_LIMIT = 1.0
+FREE_TIMEOUT_SECONDS = 1.0
 
 
 class Prompts:
@@ -270,7 +270,7 @@
     async def free(self, replica: types.Replica, handle: types.Handle) -> None:
         """Frees a KV cache; it lapses by itself where that fails."""
         try:
-            async with asyncio.timeout(FREE_LIMIT):
+            async with asyncio.timeout(FREE_TIMEOUT_SECONDS):
                 await self.endpoints.drop(replica, handle)
         except (exceptions.EndpointError, TimeoutError) as error:
             events.log(
