--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -262,7 +262,7 @@
 
 @behave.then("the request's prompt is to be read again")
 def step_read_again(context):
-    placing = prompts.Prompts(
+    placing = prompts.Prefills(
         context.directory,
         context.endpoints,
         context.homes,
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -75,7 +75,7 @@
         self.endpoints = endpoints
         self.budget = budget
         self.homes = homes
-        self.prompts = prompts.Prompts(directory, endpoints, homes, quarantine)
+        self.prompts = prompts.Prefills(directory, endpoints, homes, quarantine)
 
     async def serve(
         self,
--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -28,7 +28,7 @@
 FREE_TIMEOUT_SECONDS = 1.0
 
 
-class Prompts:
+class Prefills:
     """Places prompts and waits until they are read.
 
     >>> choice = prompts.place(service, progress)
