--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -66,12 +66,14 @@
                 call.chain, call.model, call.prompt_tokens, route.urgency
             ),
             self.readers(service, progress.avoid),
-            self.holders(service),
+            self.cache_holders(service),
             rate,
             time.monotonic(),
         )
 
-    def holders(self, service: types.Service) -> list[homes_module.Engine]:
+    def cache_holders(
+        self, service: types.Service
+    ) -> list[homes_module.Engine]:
         """The engines that may have parts of prompts, also leaving ones."""
         found = []
         for replica in self.directory.replicas.values():
