--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -65,7 +65,7 @@
             homes_module.Prompt(
                 call.chain, call.model, call.prompt_tokens, route.urgency
             ),
-            self.readers(service, progress.avoid),
+            self.prefill_engines(service, progress.avoid),
             self.cache_holders(service),
             rate,
             time.monotonic(),
@@ -85,7 +85,7 @@
                 )
         return found
 
-    def readers(
+    def prefill_engines(
         self, service: types.Service, avoid: frozenset[str]
     ) -> list[homes_module.Engine]:
         """The engines that read prompts."""
