--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -252,7 +252,9 @@
             handle=handle,
             # Once read, a prompt is copied and not read a second time: a
             # repeat is one call and not two.
-            cache_peer="" if handle else self.prompts.peer(progress.read_at),
+            cache_peer=""
+            if handle
+            else self.prompts.cache_peer(progress.read_at),
             last_event=stream.last_event,
         )
         share = stream_share(replica, service, progress.call)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -95,7 +95,7 @@
             found.append(homes_module.Engine(replica.instance, replica.address))
         return found
 
-    def peer(self, address: str) -> str:
+    def cache_peer(self, address: str) -> str:
         """An engine's address, if it can be copied from; else nothing."""
         for replica in self.directory.replicas.values():
             if replica.address != address:
