--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -152,7 +152,9 @@
         if not progress.read_at:
             choice = self.prompts.place(route, service, progress)
         if choice is not None:
-            handle = await self.prompts.read(choice, route, service, progress)
+            handle = await self.prompts.prefill(
+                choice, route, service, progress
+            )
             progress.handle = handle
             progress.read_at = handle.address
         self.quarantine.admit(progress)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -104,7 +104,7 @@
                 return address
         return ""
 
-    async def read(
+    async def prefill(
         self,
         choice: homes_module.Choice,
         route: routes.Route,
