--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -181,7 +181,7 @@
         """
         prefill = self.endpoints.prefill(replica, progress.call, instructions)
         try:
-            return await self.patiently(prefill, choice)
+            return await self.wait_for_prefill(prefill, choice)
         except TimeoutError as error:
             self.directory.failed(replica.instance, error, time.monotonic())
             raise exceptions.EndpointNotStarted(
@@ -198,7 +198,7 @@
             self.directory.failed(replica.instance, error, time.monotonic())
             raise exceptions.EndpointNotStarted(str(error)) from error
 
-    async def patiently(
+    async def wait_for_prefill(
         self, prefill: Coroutine, choice: homes_module.Choice
     ) -> types.Handle:
         """Waits for a prompt to be read while its engine reads any.
