--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -210,7 +210,7 @@
             TimeoutError: The engine has finished nothing for too long.
             exceptions.EndpointError: It failed.
         """
-        patience = max(
+        timeout = max(
             MIN_PREFILL_TIMEOUT_SECONDS, PREFILL_TIMEOUT_FACTOR * choice.reading
         )
         started = time.monotonic()
@@ -219,7 +219,7 @@
         try:
             while True:
                 heard = self.directory.health.heard.get(choice.engine, started)
-                until = max(started, heard) + patience
+                until = max(started, heard) + timeout
                 left = until - time.monotonic()
                 if left <= 0 or choice.engine in self.directory.suspects:
                     raise TimeoutError
