--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -268,7 +268,7 @@
         context.homes,
         quarantine.Quarantine(runs.Runs(context.directory)),
     )
-    placing.check_kept(context.progress, lambda: True)
+    placing.discard_lost_handle(context.progress, lambda: True)
     assert context.progress.handle is None
     assert not context.progress.read_at
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -147,7 +147,9 @@
             exceptions.AnswerBroken: An engine may have begun.
         """
         await self.engine_back(route, service, progress)
-        self.prompts.check_kept(progress, lambda: self.may_repeat(service))
+        self.prompts.discard_lost_handle(
+            progress, lambda: self.may_repeat(service)
+        )
         choice = None
         if not progress.read_at:
             choice = self.prompts.place(route, service, progress)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -232,7 +232,7 @@
             self.directory.ended(choice.engine)
             task.cancel()
 
-    def check_kept(
+    def discard_lost_handle(
         self,
         progress: progress_module.Progress,
         may_repeat: Callable[[], bool],
