--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -235,7 +235,7 @@
     def discard_lost_handle(
         self,
         progress: progress_module.Progress,
-        may_repeat: Callable[[], bool],
+        take_retry: Callable[[], bool],
     ) -> None:
         """Has a prompt read again whose engine has started again since.
 
@@ -254,7 +254,7 @@
         ):
             return
         progress.handle = None
-        if may_repeat():
+        if take_retry():
             progress.read_at = ""
 
     def drop(self, progress: progress_module.Progress) -> None:
