--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -96,7 +96,7 @@
         try:
             await self.attempts(route, service, stream, progress)
         finally:
-            self.prompts.drop(progress)
+            self.prompts.release_handle(progress)
 
     async def attempts(
         self,
@@ -280,13 +280,13 @@
             progress.failed(replica, str(error))
             self.judge(replica, error)
             if not isinstance(error, UNTOUCHED):
-                self.prompts.drop(progress)
+                self.prompts.release_handle(progress)
             raise
         except exceptions.AnswerBroken as error:
             progress.failed(replica, str(error))
             self.quarantine.interrupted(run)
             self.directory.failed(replica.instance, error, time.monotonic())
-            self.prompts.drop(progress)
+            self.prompts.release_handle(progress)
             raise
         finally:
             self.quarantine.end(run)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -257,7 +257,7 @@
         if take_retry():
             progress.read_at = ""
 
-    def drop(self, progress: progress_module.Progress) -> None:
+    def release_handle(self, progress: progress_module.Progress) -> None:
         """Frees a KV cache that nobody will take, beside the request."""
         handle, progress.handle = progress.handle, None
         if handle is None:
