--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -265,11 +265,13 @@
         replica = self.directory.replicas.get(handle.engine)
         if replica is None:
             return
-        task = asyncio.create_task(self.free(replica, handle))
+        task = asyncio.create_task(self.free_handle(replica, handle))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def free(self, replica: types.Replica, handle: types.Handle) -> None:
+    async def free_handle(
+        self, replica: types.Replica, handle: types.Handle
+    ) -> None:
         """Frees a KV cache; it lapses by itself where that fails."""
         try:
             async with asyncio.timeout(FREE_TIMEOUT_SECONDS):
