--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -45,7 +45,7 @@
         self.directory = directory
         self.quarantine = quarantine
         self.endpoints = endpoints
-        self.homes = homes
+        self.prefix_router = homes
         self.tasks: set[asyncio.Task] = set()
 
     def place(
@@ -61,7 +61,7 @@
         rate = 0.0
         if service.token_bytes:
             rate = service.link_rate / service.token_bytes
-        return self.homes.choose(
+        return self.prefix_router.choose(
             homes_module.Prompt(
                 call.chain, call.model, call.prompt_tokens, route.urgency
             ),
@@ -121,7 +121,9 @@
         replica = self.directory.replicas[choice.engine]
         rank = progress.rank(route, choice.total, choice.behind, choice.load)
         call = progress.call
-        self.homes.demand.add(service.name, choice.load, time.monotonic())
+        self.prefix_router.demand.add(
+            service.name, choice.load, time.monotonic()
+        )
         if rank.hopeless and not progress.may_have_run:
             behind = choice.behind if rank.deferred else 0.0
             raise hopeless(choice, progress, behind)
@@ -143,7 +145,7 @@
             cache_peer=choice.peer,
         )
         sent = time.monotonic()
-        choice = self.homes.sent(
+        choice = self.prefix_router.sent(
             choice,
             call.chain,
             call.model,
@@ -155,16 +157,16 @@
                 replica, choice, instructions, progress
             )
         except exceptions.EndpointNotStarted as error:
-            self.homes.dropped(choice)
+            self.prefix_router.dropped(choice)
             progress.failed(replica, str(error))
             raise
         except asyncio.CancelledError:
-            self.homes.dropped(choice)
+            self.prefix_router.dropped(choice)
             raise
         now = time.monotonic()
         self.directory.heard(choice.engine, now)
         self.directory.health.succeeded(choice.engine, now)
-        self.homes.done(choice, now - sent, now)
+        self.prefix_router.done(choice, now - sent, now)
         return handle
 
     async def exchange(
