--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -39,13 +39,13 @@
         self,
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
-        homes: homes_module.Homes,
+        prefix_router: homes_module.Homes,
         quarantine: quarantine_module.Quarantine,
     ):
         self.directory = directory
         self.quarantine = quarantine
         self.endpoints = endpoints
-        self.prefix_router = homes
+        self.prefix_router = prefix_router
         self.tasks: set[asyncio.Task] = set()
 
     def place(
