--- a/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prompts.py
@@ -126,7 +126,7 @@
         )
         if rank.hopeless and not progress.may_have_run:
             behind = choice.behind if rank.deferred else 0.0
-            raise hopeless(choice, progress, behind)
+            raise deadline_refusal(choice, progress, behind)
         events.log(
             events.PROMPT_PLACED,
             request=call.id,
@@ -287,7 +287,7 @@
             )
 
 
-def hopeless(
+def deadline_refusal(
     choice: homes_module.Choice,
     progress: progress_module.Progress,
     behind: float,
