--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -26,7 +26,7 @@
 from gypsumfold.gateway import types
 
 # Attempts at reading a prompt or making tokens, refused ones included.
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 # Failures after which a KV cache still waits to be taken: the engine that was
 # to take it never saw the request, or is not the one meant.
 UNTOUCHED = (exceptions.EndpointUnreachable, exceptions.EndpointMistaken)
@@ -111,7 +111,7 @@
             exceptions.RequestError: As `serve`.
             exceptions.AnswerBroken: As `serve`.
         """
-        for attempt in range(MOST_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             self.quarantine.admit(progress)
             if attempt:
                 if not self.may_repeat(service):
