--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -29,7 +29,10 @@
 MAX_ATTEMPTS = 4
 # Failures after which a KV cache still waits to be taken: the engine that was
 # to take it never saw the request, or is not the one meant.
-UNTOUCHED = (exceptions.EndpointUnreachable, exceptions.EndpointMistaken)
+HANDLE_KEEPING_ERRORS = (
+    exceptions.EndpointUnreachable,
+    exceptions.EndpointMistaken,
+)
 # Seconds between two looks for an engine that generates.
 LOOK = 0.03
 
@@ -279,7 +282,7 @@
             progress.did_not_run(replica)
             progress.failed(replica, str(error))
             self.judge(replica, error)
-            if not isinstance(error, UNTOUCHED):
+            if not isinstance(error, HANDLE_KEEPING_ERRORS):
                 self.prompts.release_handle(progress)
             raise
         except exceptions.AnswerBroken as error:
