--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -34,7 +34,7 @@
     exceptions.EndpointMistaken,
 )
 # Seconds between two looks for an engine that generates.
-LOOK = 0.03
+POLL_INTERVAL = 0.03
 
 
 class EngineListener:
@@ -217,7 +217,7 @@
                     since=round(now - since, 3),
                     left=round(progress.left(), 3),
                 )
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
 
     def decoder(
         self,
