--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -50,7 +50,7 @@
         self.quarantine = quarantine
         self.run = run
 
-    def heard(self) -> None:
+    def bytes_received(self) -> None:
         """Bytes came."""
         self.directory.heard(self.run.replica.instance, time.monotonic())
 
