--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -17,7 +17,7 @@
 class Listener(Protocol):
     """Takes note of what comes from a replica."""
 
-    def heard(self) -> None:
+    def bytes_received(self) -> None:
         """Bytes came."""
 
     def passed_on(self) -> None:
@@ -64,9 +64,9 @@
             return
         plain_calls.checked(answer)
         self.pending = b""
-        listener.heard()
+        listener.bytes_received()
         async for data in answer.chunks():
-            listener.heard()
+            listener.bytes_received()
             if await self.write(data, answer, progress):
                 listener.passed_on()
         if self.pending:
