--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -54,7 +54,7 @@
         """Bytes came."""
         self.directory.heard(self.run.replica.instance, time.monotonic())
 
-    def passed_on(self) -> None:
+    def output_forwarded(self) -> None:
         """An event went to the caller."""
         self.quarantine.gave_output(self.run)
 
