--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -20,7 +20,7 @@
     def bytes_received(self) -> None:
         """Bytes came."""
 
-    def passed_on(self) -> None:
+    def output_forwarded(self) -> None:
         """Output of the run went to the caller."""
 
 
@@ -68,7 +68,7 @@
         async for data in answer.chunks():
             listener.bytes_received()
             if await self.write(data, answer, progress):
-                listener.passed_on()
+                listener.output_forwarded()
         if self.pending:
             await self.reply.write(self.pending)
         if not progress.begun:
