--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -183,7 +183,7 @@
         """Ends at once."""
         await cancelled([*self.calls, *self.gateway.tasks.values()])
         # Calls that end so have the memory of their prompts freed.
-        await cancelled(list(self.gateway.generations.prompts.tasks))
+        await cancelled(list(self.gateway.generations.prefills.tasks))
         await self.gateway.session.close()
         os.close(self.gateway.lines.descriptor)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -78,7 +78,9 @@
         self.endpoints = endpoints
         self.budget = budget
         self.homes = homes
-        self.prompts = prompts.Prefills(directory, endpoints, homes, quarantine)
+        self.prefills = prompts.Prefills(
+            directory, endpoints, homes, quarantine
+        )
 
     async def serve(
         self,
@@ -99,7 +101,7 @@
         try:
             await self.attempts(route, service, stream, progress)
         finally:
-            self.prompts.release_handle(progress)
+            self.prefills.release_handle(progress)
 
     async def attempts(
         self,
@@ -150,14 +152,14 @@
             exceptions.AnswerBroken: An engine may have begun.
         """
         await self.engine_back(route, service, progress)
-        self.prompts.discard_lost_handle(
+        self.prefills.discard_lost_handle(
             progress, lambda: self.may_repeat(service)
         )
         choice = None
         if not progress.read_at:
-            choice = self.prompts.place(route, service, progress)
+            choice = self.prefills.place(route, service, progress)
         if choice is not None:
-            handle = await self.prompts.prefill(
+            handle = await self.prefills.prefill(
                 choice, route, service, progress
             )
             progress.handle = handle
@@ -261,7 +263,7 @@
             # repeat is one call and not two.
             cache_peer=""
             if handle
-            else self.prompts.cache_peer(progress.read_at),
+            else self.prefills.cache_peer(progress.read_at),
             last_event=stream.last_event,
         )
         share = stream_share(replica, service, progress.call)
@@ -283,13 +285,13 @@
             progress.failed(replica, str(error))
             self.judge(replica, error)
             if not isinstance(error, HANDLE_KEEPING_ERRORS):
-                self.prompts.release_handle(progress)
+                self.prefills.release_handle(progress)
             raise
         except exceptions.AnswerBroken as error:
             progress.failed(replica, str(error))
             self.quarantine.interrupted(run)
             self.directory.failed(replica.instance, error, time.monotonic())
-            self.prompts.release_handle(progress)
+            self.prefills.release_handle(progress)
             raise
         finally:
             self.quarantine.end(run)
