--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -77,7 +77,7 @@
         self.quarantine = quarantine
         self.endpoints = endpoints
         self.budget = budget
-        self.homes = homes
+        self.prefix_router = homes
         self.prefills = prompts.Prefills(
             directory, endpoints, homes, quarantine
         )
@@ -269,7 +269,7 @@
         share = stream_share(replica, service, progress.call)
         self.directory.started(replica.instance, time.monotonic())
         self.directory.streams.add(replica.instance, share)
-        self.homes.tell()
+        self.prefix_router.tell()
         progress.sent(
             replica,
             route=route.name,
@@ -297,7 +297,7 @@
             self.quarantine.end(run)
             self.directory.ended(replica.instance)
             self.directory.streams.remove(replica.instance, share)
-            self.homes.tell()
+            self.prefix_router.tell()
         progress.handle = None
         self.directory.health.succeeded(replica.instance, time.monotonic())
 
