--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -70,16 +70,16 @@
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
         budget: budgets.RetryBudget,
-        homes: homes_module.Homes,
+        prefix_router: homes_module.Homes,
         quarantine: quarantine_module.Quarantine,
     ):
         self.directory = directory
         self.quarantine = quarantine
         self.endpoints = endpoints
         self.budget = budget
-        self.prefix_router = homes
+        self.prefix_router = prefix_router
         self.prefills = prompts.Prefills(
-            directory, endpoints, homes, quarantine
+            directory, endpoints, prefix_router, quarantine
         )
 
     async def serve(
