--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -99,11 +99,11 @@
         """
         stream = streams.Stream(reply, route.resumable)
         try:
-            await self.attempts(route, service, stream, progress)
+            await self.run_attempts(route, service, stream, progress)
         finally:
             self.prefills.release_handle(progress)
 
-    async def attempts(
+    async def run_attempts(
         self,
         route: routes.Route,
         service: types.Service,
