--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -119,7 +119,7 @@
         for attempt in range(MAX_ATTEMPTS):
             self.quarantine.admit(progress)
             if attempt:
-                if not self.may_repeat(service):
+                if not self.take_retry(service):
                     progress.not_repeated(service.name)
                     break
                 progress.repeated("the attempt before failed")
@@ -153,7 +153,7 @@
         """
         await self.engine_back(route, service, progress)
         self.prefills.discard_lost_handle(
-            progress, lambda: self.may_repeat(service)
+            progress, lambda: self.take_retry(service)
         )
         choice = None
         if not progress.read_at:
@@ -174,7 +174,7 @@
             raise exceptions.EndpointNotStarted("no engine generates")
         await self.run(decoder, route, service, stream, progress)
 
-    def may_repeat(self, service: types.Service) -> bool:
+    def take_retry(self, service: types.Service) -> bool:
         """Takes one repeat out of the site's budget, if one is left."""
         return self.budget.allow(service.name, time.monotonic())
 
