--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -151,7 +151,7 @@
             exceptions.EndpointNotStarted: Nothing has run in this attempt.
             exceptions.AnswerBroken: An engine may have begun.
         """
-        await self.engine_back(route, service, progress)
+        await self.wait_for_decode_engine(route, service, progress)
         self.prefills.discard_lost_handle(
             progress, lambda: self.take_retry(service)
         )
@@ -178,7 +178,7 @@
         """Takes one repeat out of the site's budget, if one is left."""
         return self.budget.allow(service.name, time.monotonic())
 
-    async def engine_back(
+    async def wait_for_decode_engine(
         self,
         route: routes.Route,
         service: types.Service,
