--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -168,7 +168,9 @@
         decoder = await self.quarantine.place(
             progress,
             route,
-            lambda: self.decoder(service, progress.handle, progress),
+            lambda: self.choose_decode_engine(
+                service, progress.handle, progress
+            ),
         )
         if decoder is None:
             raise exceptions.EndpointNotStarted("no engine generates")
@@ -221,7 +223,7 @@
                 )
             await asyncio.sleep(POLL_INTERVAL)
 
-    def decoder(
+    def choose_decode_engine(
         self,
         service: types.Service,
         handle: types.Handle | None,
