--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -285,7 +285,7 @@
         except exceptions.EndpointNotStarted as error:
             progress.did_not_run(replica)
             progress.failed(replica, str(error))
-            self.judge(replica, error)
+            self.record_failure(replica, error)
             if not isinstance(error, HANDLE_KEEPING_ERRORS):
                 self.prefills.release_handle(progress)
             raise
@@ -303,7 +303,7 @@
         progress.handle = None
         self.directory.health.succeeded(replica.instance, time.monotonic())
 
-    def judge(
+    def record_failure(
         self, replica: types.Replica, error: exceptions.EndpointNotStarted
     ) -> None:
         """Judges an engine that did not take a request."""
