--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -18,8 +18,8 @@
 from gypsumfold.gateway import generations
 from gypsumfold.gateway import liveness
 from gypsumfold.gateway import planning
+from gypsumfold.gateway import prefills
 from gypsumfold.gateway import progress as progress_module
-from gypsumfold.gateway import prompts
 from gypsumfold.gateway import quarantine
 from gypsumfold.gateway import registrations as registrations_module
 from gypsumfold.gateway import runs
@@ -262,7 +262,7 @@
 
 @behave.then("the request's prompt is to be read again")
 def step_read_again(context):
-    placing = prompts.Prefills(
+    placing = prefills.Prefills(
         context.directory,
         context.endpoints,
         context.homes,
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -17,8 +17,8 @@
 from gypsumfold.decisions import routes
 from gypsumfold.decisions import stages
 from gypsumfold.gateway import directory as directory_module
+from gypsumfold.gateway import prefills
 from gypsumfold.gateway import progress as progress_module
-from gypsumfold.gateway import prompts
 from gypsumfold.gateway import quarantine as quarantine_module
 from gypsumfold.gateway import replies
 from gypsumfold.gateway import runs as runs_module
@@ -78,7 +78,7 @@
         self.endpoints = endpoints
         self.budget = budget
         self.prefix_router = prefix_router
-        self.prefills = prompts.Prefills(
+        self.prefills = prefills.Prefills(
             directory, endpoints, prefix_router, quarantine
         )
 
