--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -25,7 +25,7 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.gateway import gateway as gateway_module
-from gypsumfold.gateway import lines
+from gypsumfold.gateway import line_writer
 from gypsumfold.gateway import settings as settings_module
 from gypsumfold.platform import names
 from gypsumfold.platform import replicas as replicas_module
@@ -152,7 +152,7 @@
             self.gateway = gateway_module.Gateway(
                 settings,
                 pathlib.Path(__file__),
-                lines.NonBlockingLineWriter(descriptor),
+                line_writer.NonBlockingLineWriter(descriptor),
             )
         self.gateway.gossip.sender.transport = self
         self.gateway.questions.ask = self.ask
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -31,7 +31,7 @@
 from gypsumfold.gateway import handling
 from gypsumfold.gateway import knowledge as knowledge_module
 from gypsumfold.gateway import leadership as leadership_module
-from gypsumfold.gateway import lines as lines_module
+from gypsumfold.gateway import line_writer as line_writer_module
 from gypsumfold.gateway import liveness
 from gypsumfold.gateway import plain_calls
 from gypsumfold.gateway import planning
@@ -72,7 +72,7 @@
         self,
         settings: settings_module.Settings,
         path: pathlib.Path,
-        lines: lines_module.NonBlockingLineWriter,
+        lines: line_writer_module.NonBlockingLineWriter,
     ):
         self.settings = settings
         self.path = path
--- a/packages/gypsumfold/src/gypsumfold/gateway/main.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/main.py
@@ -11,7 +11,7 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.gateway import gateway as gateway_module
-from gypsumfold.gateway import lines as lines_module
+from gypsumfold.gateway import line_writer as line_writer_module
 from gypsumfold.gateway import settings as settings_module
 
 # Exit code of a settings file that cannot be used (sysexits EX_CONFIG).
@@ -33,7 +33,7 @@
     except exceptions.SettingsError as error:
         click.echo(str(error), err=True)
         sys.exit(EXIT_SETTINGS)
-    lines = lines_module.NonBlockingLineWriter(sys.stdout.fileno())
+    lines = line_writer_module.NonBlockingLineWriter(sys.stdout.fileno())
     events.configure(settings.node.name, lines)
     uvloop.run(serve(settings, file, lines))
 
@@ -41,7 +41,7 @@
 async def serve(
     settings: settings_module.Settings,
     file: pathlib.Path,
-    lines: lines_module.NonBlockingLineWriter,
+    lines: line_writer_module.NonBlockingLineWriter,
 ) -> None:
     """Runs a gateway; the first signal begins its graceful shutdown."""
     gateway = gateway_module.Gateway(settings, file, lines)
