--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -11,7 +11,7 @@
 from gypsumfold.gateway import types
 
 # Seconds after which a caller may come back where there is no room.
-RETRY_AFTER = 0.5
+RETRY_AFTER_SECONDS = 0.5
 
 
 class Progress:
@@ -72,7 +72,7 @@
         return exceptions.Unavailable(
             "no replica has room",
             outcomes.Outcome.NOT_RUN,
-            min(RETRY_AFTER, max(0.0, self.left() / 3)),
+            min(RETRY_AFTER_SECONDS, max(0.0, self.left() / 3)),
         )
 
     def sent(self, replica: types.Replica, **inputs) -> None:
