--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -134,7 +134,7 @@
                 may_repeat = route.resumable or route.repeatable
                 if not may_repeat or progress.runs >= route.attempts:
                     break
-        if progress.begun:
+        if progress.answer_started:
             raise exceptions.AnswerBroken("no engine could go on")
         raise progress.failure()
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -135,7 +135,7 @@
                     return
                 await self.plain_calls.serve(route, service, reply, progress)
         except TimeoutError as error:
-            if progress.begun:
+            if progress.answer_started:
                 raise exceptions.AnswerBroken("the deadline") from error
             if progress.may_have_run:
                 raise exceptions.AnswerUndetermined(
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -32,7 +32,7 @@
         self.call = call
         self.fingerprint = fingerprints.fingerprint(call)
         self.may_have_run = False
-        self.begun = False
+        self.answer_started = False
         self.runs = 0
         self.avoid: frozenset[str] = frozenset()
         self.read_at = ""
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -75,7 +75,7 @@
             crashes=self.log.count(progress.fingerprint),
             seconds=round(until - now, 3),
         )
-        if progress.begun:
+        if progress.answer_started:
             raise exceptions.AnswerAbandoned("the request crashes replicas")
         if progress.may_have_run:
             raise progress.failure()
@@ -108,7 +108,7 @@
             return replica
         started = time.monotonic()
         age = 0.0
-        if not progress.begun:
+        if not progress.answer_started:
             age = started - progress.call.arrival
         longest = LONGEST_HOLD * route.waits(progress.left(), age)
         while replica is not None:
@@ -122,7 +122,7 @@
             held = time.monotonic() - started
             if held >= longest:
                 self.log_held(progress, held, False)
-                if progress.begun:
+                if progress.answer_started:
                     raise exceptions.AnswerAbandoned(
                         "no replica is free for it"
                     )
--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -71,7 +71,7 @@
                 listener.output_forwarded()
         if self.pending:
             await self.reply.write(self.pending)
-        if not progress.begun:
+        if not progress.answer_started:
             await self.begin(answer, progress)
         await self.reply.end()
 
@@ -81,7 +81,7 @@
         """Passes a replica's failure on, unless an answer has begun."""
         body = await answer.read()
         plain_calls.checked(answer)
-        if progress.begun:
+        if progress.answer_started:
             raise exceptions.AnswerBroken(
                 f"the engine that was to go on answered {answer.status}"
             )
@@ -93,7 +93,7 @@
         self, answer: types.Answer, progress: progress_module.Progress
     ) -> None:
         """Sends the head of the first replica's answer."""
-        progress.begun = True
+        progress.answer_started = True
         length = None if self.resumable else answer.length
         await self.reply.begin(
             answer.status, answer.reason, answer.fields, length
@@ -114,7 +114,7 @@
             data = self.whole_events(data)
         if not data:
             return False
-        if not progress.begun:
+        if not progress.answer_started:
             await self.begin(answer, progress)
         await self.reply.write(data)
         return True
