--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -257,7 +257,7 @@
     call = types.Call("a", "POST", "/", "h", (), None, 0.0, 9e9)
     context.progress = progress_module.Progress(call)
     context.progress.handle = types.Handle(ENGINE, "10.0.0.7:8080", "h", 1000)
-    context.progress.read_at = "10.0.0.7:8080"
+    context.progress.prefill_address = "10.0.0.7:8080"
 
 
 @behave.then("the request's prompt is to be read again")
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -156,14 +156,14 @@
             progress, lambda: self.take_retry(service)
         )
         choice = None
-        if not progress.read_at:
+        if not progress.prefill_address:
             choice = self.prefills.place(route, service, progress)
         if choice is not None:
             handle = await self.prefills.prefill(
                 choice, route, service, progress
             )
             progress.handle = handle
-            progress.read_at = handle.address
+            progress.prefill_address = handle.address
         self.quarantine.admit(progress)
         decoder = await self.quarantine.place(
             progress,
@@ -265,7 +265,7 @@
             # repeat is one call and not two.
             cache_peer=""
             if handle
-            else self.prefills.cache_peer(progress.read_at),
+            else self.prefills.cache_peer(progress.prefill_address),
             last_event=stream.last_event,
         )
         share = stream_share(replica, service, progress.call)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -257,7 +257,7 @@
             return
         progress.handle = None
         if take_retry():
-            progress.read_at = ""
+            progress.prefill_address = ""
 
     def release_handle(self, progress: progress_module.Progress) -> None:
         """Frees a KV cache that nobody will take, beside the request."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -35,7 +35,7 @@
         self.answer_started = False
         self.runs = 0
         self.avoid: frozenset[str] = frozenset()
-        self.read_at = ""
+        self.prefill_address = ""
         self.handle: types.Handle | None = None
 
     def left(self) -> float:
