--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -201,8 +201,8 @@
             verdict = outages.judge(
                 since,
                 service.switch_time,
-                route.waits(progress.left(), age),
-                progress.left(),
+                route.waits(progress.time_left(), age),
+                progress.time_left(),
                 now,
             )
             if not verdict.hold:
@@ -219,7 +219,7 @@
                     events.CALL_HELD,
                     request=progress.call.id,
                     since=round(now - since, 3),
-                    left=round(progress.left(), 3),
+                    left=round(progress.time_left(), 3),
                 )
             await asyncio.sleep(POLL_INTERVAL)
 
@@ -258,7 +258,7 @@
         """
         handle = progress.handle
         instructions = types.Instructions(
-            progress.left(),
+            progress.time_left(),
             urgency=progress.rank(route, 0.0).urgency,
             handle=handle,
             # Once read, a prompt is copied and not read a second time: a
--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -127,7 +127,7 @@
         if route.kind == routes.Kind.STREAMING:
             generates = True
         try:
-            async with asyncio.timeout(progress.left()):
+            async with asyncio.timeout(progress.time_left()):
                 if generates:
                     await self.generations.serve(
                         route, declared, reply, progress
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -160,7 +160,7 @@
         self, replica: types.Replica, progress: progress_module.Progress
     ) -> tuple[int, str, types.Fields, bytes]:
         """One exchange with a replica, read to its end."""
-        instructions = types.Instructions(progress.left())
+        instructions = types.Instructions(progress.time_left())
         answer = await self.endpoints.send(replica, progress.call, instructions)
         try:
             if answer.not_run:
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -136,10 +136,10 @@
             expected=round(choice.total, 3),
             copied_from=choice.peer,
             urgency=rank.urgency,
-            left=round(progress.left(), 3),
+            left=round(progress.time_left(), 3),
         )
         instructions = types.Instructions(
-            progress.left(),
+            progress.time_left(),
             urgency=rank.urgency,
             prefill=True,
             cache_peer=choice.peer,
@@ -301,7 +301,7 @@
         progress: Of its request.
         behind: Seconds of deferred prompts before it.
     """
-    left = progress.left()
+    left = progress.time_left()
     events.log(
         events.CALL_HOPELESS,
         request=progress.call.id,
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -38,7 +38,7 @@
         self.prefill_address = ""
         self.handle: types.Handle | None = None
 
-    def left(self) -> float:
+    def time_left(self) -> float:
         """Seconds until the deadline."""
         return self.call.deadline - time.monotonic()
 
@@ -58,7 +58,7 @@
             load: Seconds for which it holds up others.
         """
         age = time.monotonic() - self.call.arrival
-        waits = route.waits(self.left(), age)
+        waits = route.waits(self.time_left(), age)
         return lateness.rank(
             route.urgency, age, expected, route.objective, waits, behind, load
         )
@@ -72,7 +72,7 @@
         return exceptions.Unavailable(
             "no replica has room",
             outcomes.Outcome.NOT_RUN,
-            min(RETRY_AFTER_SECONDS, max(0.0, self.left() / 3)),
+            min(RETRY_AFTER_SECONDS, max(0.0, self.time_left() / 3)),
         )
 
     def sent(self, replica: types.Replica, **inputs) -> None:
@@ -84,7 +84,7 @@
             request=self.call.id,
             fingerprint=fingerprints.text(self.fingerprint),
             instance=replica.instance,
-            left=round(self.left(), 3),
+            left=round(self.time_left(), 3),
             **inputs,
         )
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -110,7 +110,7 @@
         age = 0.0
         if not progress.answer_started:
             age = started - progress.call.arrival
-        longest = LONGEST_HOLD * route.waits(progress.left(), age)
+        longest = LONGEST_HOLD * route.waits(progress.time_left(), age)
         while replica is not None:
             if await self.reserved(progress, replica):
                 held = time.monotonic() - started
