--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -46,7 +46,7 @@
         self,
         route: routes.Route,
         expected: float,
-        behind: float = 0.0,
+        deferred_ahead: float = 0.0,
         load: float = 0.0,
     ) -> lateness.Rank:
         """Ranks the request by when its first event is expected.
@@ -60,7 +60,13 @@
         age = time.monotonic() - self.call.arrival
         waits = route.waits(self.time_left(), age)
         return lateness.rank(
-            route.urgency, age, expected, route.objective, waits, behind, load
+            route.urgency,
+            age,
+            expected,
+            route.objective,
+            waits,
+            deferred_ahead,
+            load,
         )
 
     def failure(self) -> exceptions.RequestError:
