--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -136,7 +136,7 @@
                     break
         if progress.answer_started:
             raise exceptions.AnswerBroken("no engine could go on")
-        raise progress.failure()
+        raise progress.final_error()
 
     async def attempt(
         self,
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -84,7 +84,7 @@
         if answered is not None:
             await reply.whole(*answered)
             return
-        raise progress.failure()
+        raise progress.final_error()
 
     def choose(
         self, service: str, progress: progress_module.Progress
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -69,7 +69,7 @@
             load,
         )
 
-    def failure(self) -> exceptions.RequestError:
+    def final_error(self) -> exceptions.RequestError:
         """Makes the final answer where no replica gave one."""
         if self.may_have_run:
             return exceptions.AnswerFailed(
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -78,7 +78,7 @@
         if progress.answer_started:
             raise exceptions.AnswerAbandoned("the request crashes replicas")
         if progress.may_have_run:
-            raise progress.failure()
+            raise progress.final_error()
         raise exceptions.RequestQuarantined(
             "the request has crashed the replicas that ran it",
             outcomes.Outcome.NOT_RUN,
@@ -126,7 +126,7 @@
                     raise exceptions.AnswerAbandoned(
                         "no replica is free for it"
                     )
-                raise progress.failure()
+                raise progress.final_error()
         return None
 
     def log_held(
