--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -272,7 +272,7 @@
         self.directory.started(replica.instance, time.monotonic())
         self.directory.streams.add(replica.instance, share)
         self.prefix_router.tell()
-        progress.sent(
+        progress.record_sent(
             replica,
             route=route.name,
             resumed=stream.last_event,
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -119,7 +119,7 @@
         if route.repeatable and progress.runs + 1 < route.attempts:
             limit = PATIENCE * route.objective
         self.directory.started(replica.instance, time.monotonic())
-        progress.sent(replica, route=route.name)
+        progress.record_sent(replica, route=route.name)
         run = runs_module.Run(progress.fingerprint, replica, reading=False)
         self.quarantine.started(run)
         try:
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -81,7 +81,7 @@
             min(RETRY_AFTER_SECONDS, max(0.0, self.time_left() / 3)),
         )
 
-    def sent(self, replica: types.Replica, **inputs) -> None:
+    def record_sent(self, replica: types.Replica, **inputs) -> None:
         """Notes that the request goes to a replica that may run it."""
         self.may_have_run = True
         self.runs += 1
