--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -283,7 +283,7 @@
             await self.exchange(run, instructions, stream, progress)
             self.quarantine.completed(run)
         except exceptions.EndpointNotStarted as error:
-            progress.did_not_run(replica)
+            progress.record_not_run(replica)
             progress.failed(replica, str(error))
             self.record_failure(replica, error)
             if not isinstance(error, HANDLE_KEEPING_ERRORS):
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -131,7 +131,7 @@
             self.failed(replica, progress, "silent", error)
             raise exceptions.AnswerBroken("no answer in time") from error
         except exceptions.EndpointNotStarted as error:
-            progress.did_not_run(replica)
+            progress.record_not_run(replica)
             self.failed(replica, progress, str(error), error)
             if isinstance(error, exceptions.EndpointRefused):
                 now = time.monotonic()
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -94,7 +94,7 @@
             **inputs,
         )
 
-    def did_not_run(self, replica: types.Replica) -> None:
+    def record_not_run(self, replica: types.Replica) -> None:
         """Takes back what `sent` noted: the replica ran nothing."""
         self.runs -= 1
         self.may_have_run = self.runs > 0
