--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -284,13 +284,13 @@
             self.quarantine.completed(run)
         except exceptions.EndpointNotStarted as error:
             progress.record_not_run(replica)
-            progress.failed(replica, str(error))
+            progress.record_failure(replica, str(error))
             self.record_failure(replica, error)
             if not isinstance(error, HANDLE_KEEPING_ERRORS):
                 self.prefills.release_handle(progress)
             raise
         except exceptions.AnswerBroken as error:
-            progress.failed(replica, str(error))
+            progress.record_failure(replica, str(error))
             self.quarantine.interrupted(run)
             self.directory.failed(replica.instance, error, time.monotonic())
             self.prefills.release_handle(progress)
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -153,7 +153,7 @@
         error: Exception,
     ) -> None:
         """Notes a replica's failure."""
-        progress.failed(replica, reason)
+        progress.record_failure(replica, reason)
         self.directory.failed(replica.instance, error, time.monotonic())
 
     async def exchange(
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -158,7 +158,7 @@
             )
         except exceptions.EndpointNotStarted as error:
             self.prefix_router.dropped(choice)
-            progress.failed(replica, str(error))
+            progress.record_failure(replica, str(error))
             raise
         except asyncio.CancelledError:
             self.prefix_router.dropped(choice)
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -100,7 +100,7 @@
         self.may_have_run = self.runs > 0
         self.avoid |= {replica.instance}
 
-    def failed(self, replica: types.Replica, reason: str) -> None:
+    def record_failure(self, replica: types.Replica, reason: str) -> None:
         """Notes a failed attempt."""
         self.avoid |= {replica.instance}
         events.log(
