--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -120,7 +120,7 @@
             self.quarantine.admit(progress)
             if attempt:
                 if not self.take_retry(service):
-                    progress.not_repeated(service.name)
+                    progress.log_retry_refused(service.name)
                     break
                 progress.repeated("the attempt before failed")
             try:
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -60,7 +60,7 @@
                 break
             self.quarantine.admit(progress)
             if attempt and not self.budget.allow(service, time.monotonic()):
-                progress.not_repeated(service)
+                progress.log_retry_refused(service)
                 break
             replica = await self.quarantine.place(
                 progress, route, lambda: self.choose(service, progress)
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -110,7 +110,7 @@
             reason=reason,
         )
 
-    def not_repeated(self, service: str) -> None:
+    def log_retry_refused(self, service: str) -> None:
         """Notes that the request may not be sent once more."""
         events.log(events.REPEAT_REFUSED, request=self.call.id, service=service)
 
