--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -114,6 +114,6 @@
         """Notes that the request may not be sent once more."""
         events.log(events.REPEAT_REFUSED, request=self.call.id, service=service)
 
-    def repeated(self, reason: str) -> None:
+    def log_retry(self, reason: str) -> None:
         """Notes that the request is sent once more."""
         events.log(events.CALL_REPEATED, request=self.call.id, reason=reason)
