--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -16,7 +16,7 @@
 
 # Seconds after which an interrupted run whose replica's fate is not known is
 # forgotten: longer than the entry of a crashed replica stays.
-UNDECIDED_LIMIT = 8.0
+UNDECIDED_TIMEOUT_SECONDS = 8.0
 
 
 class Run:
@@ -101,7 +101,7 @@
 
     def expire(self, instance: str) -> None:
         """Forgets the runs of a replica that were interrupted long ago."""
-        start = time.monotonic() - UNDECIDED_LIMIT
+        start = time.monotonic() - UNDECIDED_TIMEOUT_SECONDS
         kept = []
         for run in self.undecided[instance]:
             if run.broken_at >= start:
