--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -277,7 +277,7 @@
             route=route.name,
             resumed=stream.last_event,
         )
-        run = runs_module.Run(progress.fingerprint, replica, reading=False)
+        run = runs_module.Run(progress.fingerprint, replica, is_prefill=False)
         self.quarantine.started(run)
         try:
             await self.exchange(run, instructions, stream, progress)
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -120,7 +120,7 @@
             limit = PATIENCE * route.objective
         self.directory.started(replica.instance, time.monotonic())
         progress.record_sent(replica, route=route.name)
-        run = runs_module.Run(progress.fingerprint, replica, reading=False)
+        run = runs_module.Run(progress.fingerprint, replica, is_prefill=False)
         self.quarantine.started(run)
         try:
             async with asyncio.timeout(limit):
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -195,7 +195,9 @@
         except exceptions.EndpointError as error:
             if isinstance(error, exceptions.AnswerBroken):
                 self.quarantine.interrupted(
-                    runs_module.Run(progress.fingerprint, replica, reading=True)
+                    runs_module.Run(
+                        progress.fingerprint, replica, is_prefill=True
+                    )
                 )
             self.directory.failed(replica.instance, error, time.monotonic())
             raise exceptions.EndpointNotStarted(str(error)) from error
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -264,7 +264,7 @@
         now = time.monotonic()
         for run in crash.runs:
             self.canaries.end(run.fingerprint, now)
-            output = run.output or run.reading
+            output = run.output or run.is_prefill
             quarantined = self.log.interrupted(
                 replica, run.fingerprint, output, now
             )
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -34,7 +34,7 @@
     def __init__(self, fingerprint: int, replica: types.Replica, reading: bool):
         self.fingerprint = fingerprint
         self.replica = replica
-        self.reading = reading
+        self.is_prefill = reading
         self.output = False
         self.canary = False
         self.broken_at: float | None = None
