--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -31,10 +31,12 @@
         broken_at: When its answer broke off; None before that.
     """
 
-    def __init__(self, fingerprint: int, replica: types.Replica, reading: bool):
+    def __init__(
+        self, fingerprint: int, replica: types.Replica, is_prefill: bool
+    ):
         self.fingerprint = fingerprint
         self.replica = replica
-        self.is_prefill = reading
+        self.is_prefill = is_prefill
         self.output = False
         self.canary = False
         self.broken_at: float | None = None
