--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -215,9 +215,9 @@
         A canary suspected of one crash, which had given none before, has come
         further than then.
         """
-        if run.output:
+        if run.has_output:
             return
-        run.output = True
+        run.has_output = True
         if run.canary and self.log.count(run.fingerprint) <= 1:
             self.end(run)
 
@@ -264,7 +264,7 @@
         now = time.monotonic()
         for run in crash.runs:
             self.canaries.end(run.fingerprint, now)
-            output = run.output or run.is_prefill
+            output = run.has_output or run.is_prefill
             quarantined = self.log.interrupted(
                 replica, run.fingerprint, output, now
             )
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -37,7 +37,7 @@
         self.fingerprint = fingerprint
         self.replica = replica
         self.is_prefill = is_prefill
-        self.output = False
+        self.has_output = False
         self.canary = False
         self.broken_at: float | None = None
 
@@ -139,7 +139,7 @@
             service=replica.service,
             seconds=round(time.monotonic() - runs[0].broken_at, 3),
             requests=requests,
-            silent=sum(not run.output for run in runs),
+            silent=sum(not run.has_output for run in runs),
         )
         for listener in self.listeners:
             listener(Crash(replica, runs))
