--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -205,7 +205,7 @@
         if verdict != crashes_module.Verdict.CANARY:
             self.canaries.end(run.fingerprint, time.monotonic())
             return
-        run.canary = True
+        run.is_canary = True
         self.canaries.start(run.fingerprint, run.replica.instance)
         self.changed()
 
@@ -218,7 +218,7 @@
         if run.has_output:
             return
         run.has_output = True
-        if run.canary and self.log.count(run.fingerprint) <= 1:
+        if run.is_canary and self.log.count(run.fingerprint) <= 1:
             self.end(run)
 
     def completed(self, run: runs_module.Run) -> None:
@@ -234,9 +234,9 @@
 
     def end(self, run: runs_module.Run) -> None:
         """Notes that a run is over, however it ended."""
-        if not run.canary:
+        if not run.is_canary:
             return
-        run.canary = False
+        run.is_canary = False
         if self.canaries.end(run.fingerprint, time.monotonic()):
             self.changed()
 
@@ -244,7 +244,7 @@
         """Notes that a run's answer broke off; a crash may be the cause."""
         if not self.runs.interrupted(run):
             return
-        run.canary = False
+        run.is_canary = False
         self.canaries.hold(
             run.fingerprint, run.replica.instance, time.monotonic()
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -38,7 +38,7 @@
         self.replica = replica
         self.is_prefill = is_prefill
         self.has_output = False
-        self.canary = False
+        self.is_canary = False
         self.broken_at: float | None = None
 
 
