--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -39,7 +39,7 @@
         self.is_prefill = is_prefill
         self.has_output = False
         self.is_canary = False
-        self.broken_at: float | None = None
+        self.interrupted_at: float | None = None
 
 
 class Crash:
@@ -83,7 +83,7 @@
         known = self.directory.replicas.get(instance)
         if known is None or known.draining:
             return False
-        run.broken_at = time.monotonic()
+        run.interrupted_at = time.monotonic()
         self.undecided.setdefault(instance, []).append(run)
         return True
 
@@ -97,7 +97,10 @@
         start = time.monotonic() - longest
         for runs in self.undecided.values():
             for run in runs:
-                if run.fingerprint == fingerprint and run.broken_at >= start:
+                if (
+                    run.fingerprint == fingerprint
+                    and run.interrupted_at >= start
+                ):
                     return True
         return False
 
@@ -106,7 +109,7 @@
         start = time.monotonic() - UNDECIDED_TIMEOUT_SECONDS
         kept = []
         for run in self.undecided[instance]:
-            if run.broken_at >= start:
+            if run.interrupted_at >= start:
                 kept.append(run)
         self.undecided[instance] = kept
         if not kept:
@@ -137,7 +140,7 @@
             events.REPLICA_CRASHED,
             instance=instance,
             service=replica.service,
-            seconds=round(time.monotonic() - runs[0].broken_at, 3),
+            seconds=round(time.monotonic() - runs[0].interrupted_at, 3),
             requests=requests,
             silent=sum(not run.has_output for run in runs),
         )
