--- a/features/steps/crash_log_steps.py
+++ b/features/steps/crash_log_steps.py
@@ -185,7 +185,7 @@
     context.directory = directory_module.Directory(random.Random(SEED))
     context.directory.put(REPLICA)
     context.quarantine = quarantine_module.Quarantine(
-        runs_module.Runs(context.directory)
+        runs_module.InterruptedRuns(context.directory)
     )
     context.interrupted = [REQUEST, REQUEST + 1]
     context.later = 0.0
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -266,7 +266,7 @@
         context.directory,
         context.endpoints,
         context.homes,
-        quarantine.Quarantine(runs.Runs(context.directory)),
+        quarantine.Quarantine(runs.InterruptedRuns(context.directory)),
     )
     placing.discard_lost_handle(context.progress, lambda: True)
     assert context.progress.handle is None
@@ -300,7 +300,7 @@
         context.endpoints,
         context.budget,
         context.homes,
-        quarantine.Quarantine(runs.Runs(context.directory)),
+        quarantine.Quarantine(runs.InterruptedRuns(context.directory)),
     )
     now = time.monotonic()
     tokens = sum(part.tokens for part in CHAIN)
--- a/features/support/made_up.py
+++ b/features/support/made_up.py
@@ -283,7 +283,7 @@
         homes_module.Homes(),
         leadership,
         directory,
-        quarantine.Quarantine(runs.Runs(directory)),
+        quarantine.Quarantine(runs.InterruptedRuns(directory)),
     )
     made.sender.transport = mock.Mock()
     return made
--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -82,7 +82,7 @@
                 token=lambda now: None,
             ),
             directory,
-            quarantine.Quarantine(runs.Runs(directory)),
+            quarantine.Quarantine(runs.InterruptedRuns(directory)),
         )
         self.gossip.clock = lambda: site.now
         self.gossip.sender.transport = Transport(site.network, self.address)
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -93,7 +93,7 @@
         rng = random.Random()
         self.directory = directory_module.Directory(rng)
         self.quarantine = quarantine_module.Quarantine(
-            runs_module.Runs(self.directory)
+            runs_module.InterruptedRuns(self.directory)
         )
         self.configurations = configurations_module.Configurations()
         self.pool = connections.Pool()
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -44,7 +44,7 @@
     >>> replica = await quarantine.place(progress, route, choose)
     """
 
-    def __init__(self, runs: runs_module.Runs):
+    def __init__(self, runs: runs_module.InterruptedRuns):
         self.runs = runs
         self.log = crashes_module.CrashLog()
         self.canaries = canaries_module.Canaries(random.getrandbits(32))
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -50,7 +50,7 @@
         self.runs = runs
 
 
-class Runs:
+class InterruptedRuns:
     """Decides which interrupted runs a crash of their replica interrupted.
 
     Attributes:
