--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -52,7 +52,7 @@
         self.relays: Callable[[], bool] = lambda: False
         self.spread: Callable[[], float] = lambda: 0.0
         self.remember: Callable[[int], None] = lambda fingerprint: None
-        runs.listeners.append(self.crashed)
+        runs.crash_listeners.append(self.crashed)
         runs.survived.append(self.survived)
 
     def admit(self, progress: progress_module.Progress) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -65,7 +65,7 @@
     def __init__(self, directory: directory_module.Directory):
         self.directory = directory
         self.undecided: dict[str, list[Run]] = {}
-        self.listeners: list[Callable[[Crash], None]] = []
+        self.crash_listeners: list[Callable[[Crash], None]] = []
         self.survived: list[Callable[[list[Run]], None]] = []
         directory.crashed.append(self.crashed)
         directory.gone.append(self.crashed)
@@ -144,5 +144,5 @@
             requests=requests,
             silent=sum(not run.has_output for run in runs),
         )
-        for listener in self.listeners:
+        for listener in self.crash_listeners:
             listener(Crash(replica, runs))
