--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -53,7 +53,7 @@
         self.spread: Callable[[], float] = lambda: 0.0
         self.remember: Callable[[int], None] = lambda fingerprint: None
         runs.crash_listeners.append(self.crashed)
-        runs.survived.append(self.survived)
+        runs.survival_listeners.append(self.survived)
 
     def admit(self, progress: progress_module.Progress) -> None:
         """Refuses a request in quarantine.
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -66,7 +66,7 @@
         self.directory = directory
         self.undecided: dict[str, list[Run]] = {}
         self.crash_listeners: list[Callable[[Crash], None]] = []
-        self.survived: list[Callable[[list[Run]], None]] = []
+        self.survival_listeners: list[Callable[[list[Run]], None]] = []
         directory.crashed.append(self.crashed)
         directory.gone.append(self.crashed)
         directory.alive.append(self.alive)
@@ -120,7 +120,7 @@
         runs = self.undecided.pop(instance, None)
         if runs is None:
             return
-        for listener in self.survived:
+        for listener in self.survival_listeners:
             listener(runs)
 
     def crashed(self, replica: types.Replica) -> None:
