--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -242,7 +242,7 @@
 
     def interrupted(self, run: runs_module.Run) -> None:
         """Notes that a run's answer broke off; a crash may be the cause."""
-        if not self.runs.interrupted(run):
+        if not self.runs.add(run):
             return
         run.is_canary = False
         self.canaries.hold(
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -71,7 +71,7 @@
         directory.gone.append(self.crashed)
         directory.alive.append(self.alive)
 
-    def interrupted(self, run: Run) -> bool:
+    def add(self, run: Run) -> bool:
         """Takes in a run whose answer broke off.
 
         A replica that leaves ends its connections by plan.
