--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -87,7 +87,7 @@
         self.undecided.setdefault(instance, []).append(run)
         return True
 
-    def waits(self, fingerprint: int, longest: float) -> bool:
+    def is_undecided(self, fingerprint: int, longest: float) -> bool:
         """Whether it is open if a crash has just interrupted a request.
 
         Args:
