--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -87,14 +87,14 @@
         self.undecided.setdefault(instance, []).append(run)
         return True
 
-    def is_undecided(self, fingerprint: int, longest: float) -> bool:
+    def is_undecided(self, fingerprint: int, max_age: float) -> bool:
         """Whether it is open if a crash has just interrupted a request.
 
         Args:
             fingerprint: The request.
             longest: Seconds after an interruption for which this counts.
         """
-        start = time.monotonic() - longest
+        start = time.monotonic() - max_age
         for runs in self.undecided.values():
             for run in runs:
                 if (
