--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -69,7 +69,7 @@
         self.survival_listeners: list[Callable[[list[Run]], None]] = []
         directory.crashed.append(self.crashed)
         directory.gone.append(self.crashed)
-        directory.alive.append(self.alive)
+        directory.alive.append(self.record_alive)
 
     def add(self, run: Run) -> bool:
         """Takes in a run whose answer broke off.
@@ -115,7 +115,7 @@
         if not kept:
             del self.undecided[instance]
 
-    def alive(self, instance: str) -> None:
+    def record_alive(self, instance: str) -> None:
         """Notes that a replica answers: its connections were reset."""
         runs = self.undecided.pop(instance, None)
         if runs is None:
