--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -67,8 +67,8 @@
         self.undecided: dict[str, list[Run]] = {}
         self.crash_listeners: list[Callable[[Crash], None]] = []
         self.survival_listeners: list[Callable[[list[Run]], None]] = []
-        directory.crashed.append(self.crashed)
-        directory.gone.append(self.crashed)
+        directory.crashed.append(self.record_crash)
+        directory.gone.append(self.record_crash)
         directory.alive.append(self.record_alive)
 
     def add(self, run: Run) -> bool:
@@ -123,7 +123,7 @@
         for listener in self.survival_listeners:
             listener(runs)
 
-    def crashed(self, replica: types.Replica) -> None:
+    def record_crash(self, replica: types.Replica) -> None:
         """Notes that a replica has ended."""
         instance = replica.instance
         if instance not in self.undecided:
