--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -9,7 +9,7 @@
 from gypsumfold.gateway import types
 
 # What ends an event, by the event-stream format.
-EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
+EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 # Bytes of one event that are kept while its end has not come.
 MOST_PENDING = 1024 * 1024
 
@@ -127,7 +127,7 @@
         """
         self.pending += data
         end = 0
-        for mark in EVENT_ENDS:
+        for mark in EVENT_TERMINATORS:
             found = self.pending.rfind(mark)
             if found >= 0:
                 end = max(end, found + len(mark))
