--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -11,7 +11,7 @@
 # What ends an event, by the event-stream format.
 EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
 # Bytes of one event that are kept while its end has not come.
-MOST_PENDING = 1024 * 1024
+MAX_EVENT_BYTES = 1024 * 1024
 
 
 class Listener(Protocol):
@@ -131,7 +131,7 @@
             found = self.pending.rfind(mark)
             if found >= 0:
                 end = max(end, found + len(mark))
-        if len(self.pending) - end > MOST_PENDING:
+        if len(self.pending) - end > MAX_EVENT_BYTES:
             raise exceptions.AnswerBroken("an event without an end")
         whole = self.pending[:end]
         self.pending = self.pending[end:]
