--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -336,7 +336,7 @@
                     f"the engine answered {answer.status}"
                 )
             listener = EngineListener(self.directory, self.quarantine, run)
-            await stream.pass_on(answer, progress, listener)
+            await stream.forward(answer, progress, listener)
         finally:
             answer.close()
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -43,7 +43,7 @@
         self.last_event = ""
         self.pending = b""
 
-    async def pass_on(
+    async def forward(
         self,
         answer: types.Answer,
         progress: progress_module.Progress,
