--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -60,7 +60,7 @@
             exceptions.AnswerBroken: It broke off or is no proper answer.
         """
         if answer.status >= 300:
-            await self.fail(answer, progress)
+            await self.forward_failure(answer, progress)
             return
         plain_calls.checked(answer)
         self.pending = b""
@@ -75,7 +75,7 @@
             await self.begin(answer, progress)
         await self.reply.end()
 
-    async def fail(
+    async def forward_failure(
         self, answer: types.Answer, progress: progress_module.Progress
     ) -> None:
         """Passes a replica's failure on, unless an answer has begun."""
