--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -72,7 +72,7 @@
         if self.pending:
             await self.reply.write(self.pending)
         if not progress.answer_started:
-            await self.begin(answer, progress)
+            await self.start_answer(answer, progress)
         await self.reply.end()
 
     async def forward_failure(
@@ -89,7 +89,7 @@
             answer.status, answer.reason, answer.fields, body
         )
 
-    async def begin(
+    async def start_answer(
         self, answer: types.Answer, progress: progress_module.Progress
     ) -> None:
         """Sends the head of the first replica's answer."""
@@ -115,7 +115,7 @@
         if not data:
             return False
         if not progress.answer_started:
-            await self.begin(answer, progress)
+            await self.start_answer(answer, progress)
         await self.reply.write(data)
         return True
 
