--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -111,7 +111,7 @@
             Whether there was anything to pass on.
         """
         if self.resumable:
-            data = self.whole_events(data)
+            data = self.take_complete_events(data)
         if not data:
             return False
         if not progress.answer_started:
@@ -119,7 +119,7 @@
         await self.reply.write(data)
         return True
 
-    def whole_events(self, data: bytes) -> bytes:
+    def take_complete_events(self, data: bytes) -> bytes:
         """Returns the events that are whole by now and keeps the rest.
 
         Raises:
