--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -82,7 +82,7 @@
             if status < 500 or not self.may_repeat(route, progress):
                 break
         if answered is not None:
-            await reply.whole(*answered)
+            await reply.send(*answered)
             return
         raise progress.final_error()
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/replies.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/replies.py
@@ -8,7 +8,7 @@
 class Reply(Protocol):
     """Takes the one answer of a request."""
 
-    async def whole(
+    async def send(
         self, status: int, reason: str, fields: types.Fields, body: bytes
     ) -> None:
         """Sends a whole answer."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -85,9 +85,7 @@
             raise exceptions.AnswerBroken(
                 f"the engine that was to go on answered {answer.status}"
             )
-        await self.reply.whole(
-            answer.status, answer.reason, answer.fields, body
-        )
+        await self.reply.send(answer.status, answer.reason, answer.fields, body)
 
     async def start_answer(
         self, answer: types.Answer, progress: progress_module.Progress
