--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -152,7 +152,7 @@
         ]
         raw.append((b"Content-Type", b"application/problem+json"))
         body = msgspec.json.encode(problems.document(error))
-        await reply.whole(error.status, "", tuple(raw), body)
+        await reply.send(error.status, "", tuple(raw), body)
         return reply.response
 
     async def stop_listening(self) -> None:
@@ -196,7 +196,7 @@
         self.server = server
         self.response: web.StreamResponse | None = None
 
-    async def whole(
+    async def send(
         self, status: int, reason: str, fields: types.Fields, body: bytes
     ) -> None:
         """Sends a whole answer."""
