--- a/packages/gypsumfold/src/gypsumfold/gateway/replies.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/replies.py
@@ -13,7 +13,7 @@
     ) -> None:
         """Sends a whole answer."""
 
-    async def begin(
+    async def start(
         self,
         status: int,
         reason: str,
--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -93,7 +93,7 @@
         """Sends the head of the first replica's answer."""
         progress.answer_started = True
         length = None if self.resumable else answer.length
-        await self.reply.begin(
+        await self.reply.start(
             answer.status, answer.reason, answer.fields, length
         )
 
