--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -200,12 +200,12 @@
         self, status: int, reason: str, fields: types.Fields, body: bytes
     ) -> None:
         """Sends a whole answer."""
-        await self.begin(status, reason, fields, len(body))
+        await self.start(status, reason, fields, len(body))
         if body:
             await self.response.write(body)
         await self.response.write_eof()
 
-    async def begin(
+    async def start(
         self, status: int, reason: str, fields: types.Fields, length: int | None
     ) -> None:
         """Sends the head of an answer whose body follows."""
