--- a/packages/gypsumfold/src/gypsumfold/gateway/replies.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/replies.py
@@ -28,5 +28,5 @@
     async def end(self) -> None:
         """Ends the body; the answer is complete."""
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Cuts the connection, so that the answer looks broken."""
