--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -75,17 +75,17 @@
         except exceptions.RequestError as error:
             return await self.refuse(reply, error, call_id)
         except exceptions.AnswerBroken:
-            reply.break_off()
+            reply.abort()
         except ConnectionError:
             # The caller has gone; its own task is cancelled next.
-            reply.break_off()
+            reply.abort()
         except asyncio.CancelledError:
             raise
         except Exception as error:
             # One request must not take others down with it.
             events.log(events.TASK_FAILED, task="request", error=repr(error))
             if reply.response is not None:
-                reply.break_off()
+                reply.abort()
                 return reply.response
             failure = exceptions.AnswerFailed(
                 "the node failed", outcomes.Outcome.UNDETERMINED
@@ -232,7 +232,7 @@
         """Ends the body; the answer is complete."""
         await self.response.write_eof()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Cuts the connection, so that the answer looks broken."""
         transport = self.request.transport
         if transport is not None:
