--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -20,7 +20,7 @@
 
 # Largest line and header field that the HTTP library takes, in bytes; the
 # operators' limit for a whole head is below this.
-HEAD_LIMIT = 65536
+MAX_HEADER_BYTES = 65536
 # Seconds that an idle connection of a caller is kept: above what callers may
 # be idle, so that a request never crosses the close.
 IDLE_LIMIT = 90.0
@@ -58,8 +58,8 @@
             handler_cancellation=True,
             access_log=None,
             keepalive_timeout=IDLE_LIMIT,
-            max_line_size=HEAD_LIMIT,
-            max_field_size=HEAD_LIMIT,
+            max_line_size=MAX_HEADER_BYTES,
+            max_field_size=MAX_HEADER_BYTES,
         )
         self.runner = await listen(server, address)
 
