--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -23,7 +23,7 @@
 MAX_HEADER_BYTES = 65536
 # Seconds that an idle connection of a caller is kept: above what callers may
 # be idle, so that a request never crosses the close.
-IDLE_LIMIT = 90.0
+KEEP_ALIVE_SECONDS = 90.0
 # Seconds that the last bytes of answers may take when the process ends.
 WRITE_LIMIT = 0.5
 
@@ -57,7 +57,7 @@
             self.handle,
             handler_cancellation=True,
             access_log=None,
-            keepalive_timeout=IDLE_LIMIT,
+            keepalive_timeout=KEEP_ALIVE_SECONDS,
             max_line_size=MAX_HEADER_BYTES,
             max_field_size=MAX_HEADER_BYTES,
         )
