--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -25,7 +25,7 @@
 # be idle, so that a request never crosses the close.
 KEEP_ALIVE_SECONDS = 90.0
 # Seconds that the last bytes of answers may take when the process ends.
-WRITE_LIMIT = 0.5
+WRITE_TIMEOUT_SECONDS = 0.5
 
 
 class Server:
