--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -47,7 +47,7 @@
         self.handler = handler
         self.configurations = configurations
         self.busy: set[web_protocol.RequestHandler] = set()
-        self.ended = asyncio.Event()
+        self.request_ended = asyncio.Event()
         self.stopping = False
         self.runner: web.ServerRunner | None = None
 
@@ -93,7 +93,7 @@
             return await self.refuse(reply, failure, call_id)
         finally:
             self.busy.discard(request.protocol)
-            self.ended.set()
+            self.request_ended.set()
         return reply.response
 
     async def read(
@@ -177,8 +177,8 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit):
                 while self.busy:
-                    self.ended.clear()
-                    await self.ended.wait()
+                    self.request_ended.clear()
+                    await self.request_ended.wait()
         if self.busy:
             events.log(events.NODE_GAVE_UP, requests=len(self.busy))
 
