--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -428,7 +428,7 @@
         await asyncio.sleep(min(NOTICE, grace / 2))
         await self.server.stop_listening()
         end = started + grace - LAST
-        await self.server.until_idle(end - time.monotonic())
+        await self.server.wait_until_idle(end - time.monotonic())
         for task in self.tasks.values():
             task.cancel()
         await asyncio.gather(*self.tasks.values(), return_exceptions=True)
--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -172,7 +172,7 @@
             if connection not in self.busy:
                 connection.force_close()
 
-    async def until_idle(self, limit: float) -> None:
+    async def wait_until_idle(self, limit: float) -> None:
         """Waits until no request is in progress, for a limit in seconds."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit):
