--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -172,10 +172,10 @@
             if connection not in self.busy:
                 connection.force_close()
 
-    async def wait_until_idle(self, limit: float) -> None:
+    async def wait_until_idle(self, timeout: float) -> None:
         """Waits until no request is in progress, for a limit in seconds."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(limit):
+            async with asyncio.timeout(timeout):
                 while self.busy:
                     self.request_ended.clear()
                     await self.request_ended.wait()
