--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -73,7 +73,7 @@
             call = await self.read(request, arrival)
             await self.handler.serve(call, reply)
         except exceptions.RequestError as error:
-            return await self.refuse(reply, error, call_id)
+            return await self.send_error(reply, error, call_id)
         except exceptions.AnswerBroken:
             reply.abort()
         except ConnectionError:
@@ -90,7 +90,7 @@
             failure = exceptions.AnswerFailed(
                 "the node failed", outcomes.Outcome.UNDETERMINED
             )
-            return await self.refuse(reply, failure, call_id)
+            return await self.send_error(reply, failure, call_id)
         finally:
             self.busy.discard(request.protocol)
             self.request_ended.set()
@@ -138,7 +138,7 @@
             parts.append(chunk)
         return b"".join(parts)
 
-    async def refuse(
+    async def send_error(
         self,
         reply: "HTTPReply",
         error: exceptions.RequestError,
