--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -15,7 +15,7 @@
 
 # Times a route's objective after which a repeatable call is sent elsewhere:
 # nearly all answers that come at all have come by then.
-PATIENCE = 2.0
+ATTEMPT_TIMEOUT_FACTOR = 2.0
 # Attempts, the refused ones included; each costs the site's budget.
 MOST_ATTEMPTS = 4
 
@@ -117,7 +117,7 @@
         # deadline ends it.
         limit = None
         if route.repeatable and progress.runs + 1 < route.attempts:
-            limit = PATIENCE * route.objective
+            limit = ATTEMPT_TIMEOUT_FACTOR * route.objective
         self.directory.started(replica.instance, time.monotonic())
         progress.record_sent(replica, route=route.name)
         run = runs_module.Run(progress.fingerprint, replica, is_prefill=False)
