--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -17,7 +17,7 @@
 # nearly all answers that come at all have come by then.
 ATTEMPT_TIMEOUT_FACTOR = 2.0
 # Attempts, the refused ones included; each costs the site's budget.
-MOST_ATTEMPTS = 4
+MAX_ATTEMPTS = 4
 
 
 class PlainCalls:
@@ -53,7 +53,7 @@
             exceptions.RequestError: It ends without a replica's answer.
         """
         answered = None
-        for attempt in range(MOST_ATTEMPTS):
+        for attempt in range(MAX_ATTEMPTS):
             if answered is not None and not self.quarantine.unsuspected(
                 progress.fingerprint
             ):
