--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -74,12 +74,12 @@
             except exceptions.EndpointNotStarted:
                 continue
             except exceptions.AnswerBroken:
-                if self.may_repeat(route, progress):
+                if self.can_retry(route, progress):
                     continue
                 break
             answered = found
             status = found[0]
-            if status < 500 or not self.may_repeat(route, progress):
+            if status < 500 or not self.can_retry(route, progress):
                 break
         if answered is not None:
             await reply.send(*answered)
@@ -95,7 +95,7 @@
         )
         return self.directory.least_busy(ready, self.data_centre)
 
-    def may_repeat(
+    def can_retry(
         self, route: routes.Route, progress: progress_module.Progress
     ) -> bool:
         """Whether a call that may have run may run once more."""
