--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -128,24 +128,24 @@
             self.quarantine.completed(run)
             return answer
         except TimeoutError as error:
-            self.failed(replica, progress, "silent", error)
+            self.record_failure(replica, progress, "silent", error)
             raise exceptions.AnswerBroken("no answer in time") from error
         except exceptions.EndpointNotStarted as error:
             progress.record_not_run(replica)
-            self.failed(replica, progress, str(error), error)
+            self.record_failure(replica, progress, str(error), error)
             if isinstance(error, exceptions.EndpointRefused):
                 now = time.monotonic()
                 self.directory.refused(replica.instance, error, now)
             raise
         except exceptions.AnswerBroken as error:
             self.quarantine.interrupted(run)
-            self.failed(replica, progress, str(error), error)
+            self.record_failure(replica, progress, str(error), error)
             raise
         finally:
             self.quarantine.end(run)
             self.directory.ended(replica.instance)
 
-    def failed(
+    def record_failure(
         self,
         replica: types.Replica,
         progress: progress_module.Progress,
