--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -169,7 +169,7 @@
             body = await answer.read()
         finally:
             answer.close()
-        checked(answer)
+        check_answer(answer)
         now = time.monotonic()
         self.directory.heard(replica.instance, now)
         if answer.status < 500:
@@ -180,7 +180,7 @@
         return answer.status, answer.reason, answer.fields, body
 
 
-def checked(answer: types.Answer) -> None:
+def check_answer(answer: types.Answer) -> None:
     """Refuses answers that a caller must not get as they are.
 
     Raises:
--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -62,7 +62,7 @@
         if answer.status >= 300:
             await self.forward_failure(answer, progress)
             return
-        plain_calls.checked(answer)
+        plain_calls.check_answer(answer)
         self.pending = b""
         listener.bytes_received()
         async for data in answer.chunks():
@@ -80,7 +80,7 @@
     ) -> None:
         """Passes a replica's failure on, unless an answer has begun."""
         body = await answer.read()
-        plain_calls.checked(answer)
+        plain_calls.check_answer(answer)
         if progress.answer_started:
             raise exceptions.AnswerBroken(
                 f"the engine that was to go on answered {answer.status}"
