--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -25,7 +25,7 @@
 
 # Seconds between two looks whether a suspect may run, about: longer than a
 # message takes to the other nodes, so that two suspects seldom start together.
-LOOK = 0.04
+POLL_INTERVAL = 0.04
 # Share of the time for which its caller still waits that a suspect is held.
 LONGEST_HOLD = 0.5
 
@@ -116,7 +116,7 @@
                 held = time.monotonic() - started
                 self.log_held(progress, held, True)
                 return replica
-            await asyncio.sleep(LOOK * random.uniform(0.5, 1.5))
+            await asyncio.sleep(POLL_INTERVAL * random.uniform(0.5, 1.5))
             self.admit(progress)
             replica = choose()
             held = time.monotonic() - started
