--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -27,7 +27,7 @@
 # message takes to the other nodes, so that two suspects seldom start together.
 POLL_INTERVAL = 0.04
 # Share of the time for which its caller still waits that a suspect is held.
-LONGEST_HOLD = 0.5
+MAX_HOLD_FRACTION = 0.5
 
 
 class Quarantine:
@@ -110,7 +110,7 @@
         age = 0.0
         if not progress.answer_started:
             age = started - progress.call.arrival
-        longest = LONGEST_HOLD * route.waits(progress.time_left(), age)
+        longest = MAX_HOLD_FRACTION * route.waits(progress.time_left(), age)
         while replica is not None:
             if await self.reserved(progress, replica):
                 held = time.monotonic() - started
