--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -104,7 +104,7 @@
             bandwidth.Bandwidth(link, bandwidth.CRASHES_SHARE),
             self.crash_receivers,
         )
-        crashes.changed = self.crash_news.due.set
+        crashes.notify_peers = self.crash_news.due.set
         crashes.relays = self.relays_for_others
         crashes.spread = self.spread
         self.reports = reports_module.Reports(
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -48,7 +48,7 @@
         self.runs = runs
         self.log = crashes_module.CrashLog()
         self.canaries = canaries_module.Canaries(random.getrandbits(32))
-        self.changed: Callable[[], None] = lambda: None
+        self.notify_peers: Callable[[], None] = lambda: None
         self.relays: Callable[[], bool] = lambda: False
         self.spread: Callable[[], float] = lambda: 0.0
         self.remember: Callable[[int], None] = lambda fingerprint: None
@@ -175,7 +175,7 @@
         if self.log.count(fingerprint) < crashes_module.MOST_CRASHES - 1:
             return True
         self.canaries.start(fingerprint, replica.instance)
-        self.changed()
+        self.notify_peers()
         alone = False
         try:
             await asyncio.sleep(self.spread())
@@ -186,7 +186,7 @@
         finally:
             if not alone:
                 self.canaries.end(fingerprint, time.monotonic())
-                self.changed()
+                self.notify_peers()
         return alone
 
     def may_run(self, fingerprint: int, replica: types.Replica) -> bool:
@@ -207,7 +207,7 @@
             return
         run.is_canary = True
         self.canaries.start(run.fingerprint, run.replica.instance)
-        self.changed()
+        self.notify_peers()
 
     def gave_output(self, run: runs_module.Run) -> None:
         """Notes that a run's output goes to its caller.
@@ -238,7 +238,7 @@
             return
         run.is_canary = False
         if self.canaries.end(run.fingerprint, time.monotonic()):
-            self.changed()
+            self.notify_peers()
 
     def interrupted(self, run: runs_module.Run) -> None:
         """Notes that a run's answer broke off; a crash may be the cause."""
@@ -248,13 +248,13 @@
         self.canaries.hold(
             run.fingerprint, run.replica.instance, time.monotonic()
         )
-        self.changed()
+        self.notify_peers()
 
     def survived(self, interrupted: list[runs_module.Run]) -> None:
         """Takes in that a replica lives: its connections were reset."""
         for run in interrupted:
             self.canaries.end(run.fingerprint, time.monotonic())
-        self.changed()
+        self.notify_peers()
 
     def crashed(self, crash: runs_module.Crash) -> None:
         """Takes in a crash that interrupted runs of this node."""
@@ -271,7 +271,7 @@
             self.note(run.fingerprint, quarantined, replica)
             if self.log.count(run.fingerprint) > 1:
                 self.remember(run.fingerprint)
-        self.changed()
+        self.notify_peers()
 
     def note(
         self,
@@ -361,4 +361,4 @@
             )
             news |= self.canaries.merge(canary, now)
         if news and self.relays():
-            self.changed()
+            self.notify_peers()
