--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -105,7 +105,7 @@
             self.crash_receivers,
         )
         crashes.notify_peers = self.crash_news.due.set
-        crashes.relays = self.relays_for_others
+        crashes.is_relay = self.relays_for_others
         crashes.spread = self.spread
         self.reports = reports_module.Reports(
             self.members, self.relays, self.loads, self.sender
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -49,7 +49,7 @@
         self.log = crashes_module.CrashLog()
         self.canaries = canaries_module.Canaries(random.getrandbits(32))
         self.notify_peers: Callable[[], None] = lambda: None
-        self.relays: Callable[[], bool] = lambda: False
+        self.is_relay: Callable[[], bool] = lambda: False
         self.spread: Callable[[], float] = lambda: 0.0
         self.remember: Callable[[int], None] = lambda fingerprint: None
         runs.crash_listeners.append(self.crashed)
@@ -302,7 +302,7 @@
         """
         now = time.monotonic()
         running = []
-        for one in self.canaries.updates(self.relays(), now, most):
+        for one in self.canaries.updates(self.is_relay(), now, most):
             left = min(canaries_module.LIFE, max(0.0, one.until - now))
             running.append(messages.Canary(*one[:-1], left))
         interrupted = []
@@ -349,7 +349,7 @@
                     replica, one.fingerprint, one.output, one.cleared
                 )
             )
-        news = self.take(suspicions, self.relays())
+        news = self.take(suspicions, self.is_relay())
         now = time.monotonic()
         for one in message.canaries:
             canary = canaries_module.Canary(
@@ -360,5 +360,5 @@
                 now + one.seconds,
             )
             news |= self.canaries.merge(canary, now)
-        if news and self.relays():
+        if news and self.is_relay():
             self.notify_peers()
