--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -106,7 +106,7 @@
         )
         crashes.notify_peers = self.crash_news.due.set
         crashes.is_relay = self.relays_for_others
-        crashes.spread = self.spread
+        crashes.propagation_time = self.spread
         self.reports = reports_module.Reports(
             self.members, self.relays, self.loads, self.sender
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -50,7 +50,7 @@
         self.canaries = canaries_module.Canaries(random.getrandbits(32))
         self.notify_peers: Callable[[], None] = lambda: None
         self.is_relay: Callable[[], bool] = lambda: False
-        self.spread: Callable[[], float] = lambda: 0.0
+        self.propagation_time: Callable[[], float] = lambda: 0.0
         self.remember: Callable[[int], None] = lambda fingerprint: None
         runs.crash_listeners.append(self.crashed)
         runs.survival_listeners.append(self.survived)
@@ -178,7 +178,7 @@
         self.notify_peers()
         alone = False
         try:
-            await asyncio.sleep(self.spread())
+            await asyncio.sleep(self.propagation_time())
             now = time.monotonic()
             self.admit(progress)
             alone = not self.canaries.elsewhere(fingerprint, now)
