--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -71,7 +71,7 @@
         self.reads = reads
         self.waiting: dict[int, bool] = {}
         self.due = asyncio.Event()
-        quarantine.remember = self.remember
+        quarantine.store_crashes = self.remember
 
     def remember(self, fingerprint: int) -> None:
         """Has the record of a request written, or dropped if it was cleared."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -51,7 +51,7 @@
         self.notify_peers: Callable[[], None] = lambda: None
         self.is_relay: Callable[[], bool] = lambda: False
         self.propagation_time: Callable[[], float] = lambda: 0.0
-        self.remember: Callable[[int], None] = lambda fingerprint: None
+        self.store_crashes: Callable[[int], None] = lambda fingerprint: None
         runs.crash_listeners.append(self.crashed)
         runs.survival_listeners.append(self.survived)
 
@@ -224,7 +224,7 @@
     def completed(self, run: runs_module.Run) -> None:
         """Notes that a run came to its end."""
         if self.log.count(run.fingerprint) > 1:
-            self.remember(run.fingerprint)
+            self.store_crashes(run.fingerprint)
         if self.log.completed(run.fingerprint):
             events.log(
                 events.SUSPECT_CLEARED,
@@ -270,7 +270,7 @@
             )
             self.note(run.fingerprint, quarantined, replica)
             if self.log.count(run.fingerprint) > 1:
-                self.remember(run.fingerprint)
+                self.store_crashes(run.fingerprint)
         self.notify_peers()
 
     def note(
