--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -142,7 +142,7 @@
 
     async def write(self, fingerprint: int) -> None:
         """Writes the crashes of a request, or drops its record."""
-        log = self.quarantine.log
+        log = self.quarantine.crash_log
         crashes = []
         for replica in sorted(log.suspected.get(fingerprint, ())):
             known = log.known(replica, fingerprint)
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -371,7 +371,7 @@
         self.counters.nodes.set(self.gossip.nodes())
         self.counters.relays.set(int(self.gossip.reads()))
         self.counters.registrations_age.set(age)
-        crashes = self.quarantine.log
+        crashes = self.quarantine.crash_log
         self.counters.suspected.set(len(crashes.suspected))
         self.counters.quarantined.set(len(crashes.quarantined))
         for call, count in self.store.calls.items():
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -46,7 +46,7 @@
 
     def __init__(self, runs: runs_module.InterruptedRuns):
         self.runs = runs
-        self.log = crashes_module.CrashLog()
+        self.crash_log = crashes_module.CrashLog()
         self.canaries = canaries_module.Canaries(random.getrandbits(32))
         self.notify_peers: Callable[[], None] = lambda: None
         self.is_relay: Callable[[], bool] = lambda: False
@@ -64,15 +64,15 @@
             exceptions.AnswerAbandoned: It is, and its answer has begun.
         """
         now = time.monotonic()
-        verdict = self.log.verdict(progress.fingerprint, now)
+        verdict = self.crash_log.verdict(progress.fingerprint, now)
         if verdict != crashes_module.Verdict.QUARANTINED:
             return
-        until = self.log.quarantined[progress.fingerprint]
+        until = self.crash_log.quarantined[progress.fingerprint]
         events.log(
             events.REQUEST_QUARANTINED,
             request=progress.call.id,
             fingerprint=fingerprints.text(progress.fingerprint),
-            crashes=self.log.count(progress.fingerprint),
+            crashes=self.crash_log.count(progress.fingerprint),
             seconds=round(until - now, 3),
         )
         if progress.answer_started:
@@ -137,7 +137,7 @@
             events.SUSPECT_HELD,
             request=progress.call.id,
             fingerprint=fingerprints.text(progress.fingerprint),
-            crashes=self.log.count(progress.fingerprint),
+            crashes=self.crash_log.count(progress.fingerprint),
             seconds=round(held, 3),
             placed=placed,
         )
@@ -147,7 +147,7 @@
         now = time.monotonic()
         if self.blocked(fingerprint, now):
             return False
-        verdict = self.log.verdict(fingerprint, now)
+        verdict = self.crash_log.verdict(fingerprint, now)
         return verdict == crashes_module.Verdict.FREE
 
     def blocked(self, fingerprint: int, now: float) -> bool:
@@ -172,7 +172,7 @@
         fingerprint = progress.fingerprint
         if not self.may_run(fingerprint, replica):
             return False
-        if self.log.count(fingerprint) < crashes_module.MOST_CRASHES - 1:
+        if self.crash_log.count(fingerprint) < crashes_module.MOST_CRASHES - 1:
             return True
         self.canaries.start(fingerprint, replica.instance)
         self.notify_peers()
@@ -194,14 +194,14 @@
         now = time.monotonic()
         if self.blocked(fingerprint, now):
             return False
-        verdict = self.log.verdict(fingerprint, now)
+        verdict = self.crash_log.verdict(fingerprint, now)
         if verdict == crashes_module.Verdict.FREE:
             return True
         return self.canaries.free(fingerprint, replica.instance, now)
 
     def started(self, run: runs_module.Run) -> None:
         """Notes that a request starts to run."""
-        verdict = self.log.verdict(run.fingerprint, time.monotonic())
+        verdict = self.crash_log.verdict(run.fingerprint, time.monotonic())
         if verdict != crashes_module.Verdict.CANARY:
             self.canaries.end(run.fingerprint, time.monotonic())
             return
@@ -218,14 +218,14 @@
         if run.has_output:
             return
         run.has_output = True
-        if run.is_canary and self.log.count(run.fingerprint) <= 1:
+        if run.is_canary and self.crash_log.count(run.fingerprint) <= 1:
             self.end(run)
 
     def completed(self, run: runs_module.Run) -> None:
         """Notes that a run came to its end."""
-        if self.log.count(run.fingerprint) > 1:
+        if self.crash_log.count(run.fingerprint) > 1:
             self.store_crashes(run.fingerprint)
-        if self.log.completed(run.fingerprint):
+        if self.crash_log.completed(run.fingerprint):
             events.log(
                 events.SUSPECT_CLEARED,
                 fingerprint=fingerprints.text(run.fingerprint),
@@ -265,11 +265,11 @@
         for run in crash.runs:
             self.canaries.end(run.fingerprint, now)
             output = run.has_output or run.is_prefill
-            quarantined = self.log.interrupted(
+            quarantined = self.crash_log.interrupted(
                 replica, run.fingerprint, output, now
             )
             self.note(run.fingerprint, quarantined, replica)
-            if self.log.count(run.fingerprint) > 1:
+            if self.crash_log.count(run.fingerprint) > 1:
                 self.store_crashes(run.fingerprint)
         self.notify_peers()
 
@@ -283,7 +283,7 @@
         if not quarantined:
             return
         crashes = []
-        for suspicion in self.log.suspicions(fingerprint):
+        for suspicion in self.crash_log.suspicions(fingerprint):
             crashes.append(suspicion.instance)
         events.log(
             events.QUARANTINE_BEGUN,
@@ -306,7 +306,7 @@
             left = min(canaries_module.LIFE, max(0.0, one.until - now))
             running.append(messages.Canary(*one[:-1], left))
         interrupted = []
-        for one in self.log.updates(now, most - len(running)):
+        for one in self.crash_log.updates(now, most - len(running)):
             interrupted.append(
                 messages.Interrupted(
                     one.replica.instance,
@@ -316,7 +316,7 @@
                     one.cleared,
                 )
             )
-        more = bool(self.log.news or self.canaries.news)
+        more = bool(self.crash_log.news or self.canaries.news)
         return crash_news.News(interrupted, running, more)
 
     def take(
@@ -334,7 +334,7 @@
         now = time.monotonic()
         news = False
         for suspicion in suspicions:
-            quarantined = self.log.merge(suspicion, pass_on, now)
+            quarantined = self.crash_log.merge(suspicion, pass_on, now)
             self.note(suspicion.fingerprint, quarantined, suspicion.replica)
             news |= quarantined
         return news
