--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -54,7 +54,7 @@
         """
         answered = None
         for attempt in range(MAX_ATTEMPTS):
-            if answered is not None and not self.quarantine.unsuspected(
+            if answered is not None and not self.quarantine.is_unsuspected(
                 progress.fingerprint
             ):
                 break
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -104,7 +104,7 @@
         """
         fingerprint = progress.fingerprint
         replica = choose()
-        if replica is None or self.unsuspected(fingerprint):
+        if replica is None or self.is_unsuspected(fingerprint):
             return replica
         started = time.monotonic()
         age = 0.0
@@ -142,7 +142,7 @@
             placed=placed,
         )
 
-    def unsuspected(self, fingerprint: int) -> bool:
+    def is_unsuspected(self, fingerprint: int) -> bool:
         """Whether nothing speaks against sending a request anywhere."""
         now = time.monotonic()
         if self.blocked(fingerprint, now):
