--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -145,12 +145,12 @@
     def is_unsuspected(self, fingerprint: int) -> bool:
         """Whether nothing speaks against sending a request anywhere."""
         now = time.monotonic()
-        if self.blocked(fingerprint, now):
+        if self.is_blocked(fingerprint, now):
             return False
         verdict = self.crash_log.verdict(fingerprint, now)
         return verdict == crashes_module.Verdict.FREE
 
-    def blocked(self, fingerprint: int, now: float) -> bool:
+    def is_blocked(self, fingerprint: int, now: float) -> bool:
         """Whether a copy of a request runs as a canary, or may have crashed."""
         if self.runs.is_undecided(fingerprint, canaries_module.UNDECIDED):
             return True
@@ -192,7 +192,7 @@
     def may_run(self, fingerprint: int, replica: types.Replica) -> bool:
         """Whether a request may run at a replica now."""
         now = time.monotonic()
-        if self.blocked(fingerprint, now):
+        if self.is_blocked(fingerprint, now):
             return False
         verdict = self.crash_log.verdict(fingerprint, now)
         if verdict == crashes_module.Verdict.FREE:
