--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -112,7 +112,7 @@
             age = started - progress.call.arrival
         longest = MAX_HOLD_FRACTION * route.waits(progress.time_left(), age)
         while replica is not None:
-            if await self.reserved(progress, replica):
+            if await self.reserve(progress, replica):
                 held = time.monotonic() - started
                 self.log_held(progress, held, True)
                 return replica
@@ -156,7 +156,7 @@
             return True
         return self.canaries.running(fingerprint, now)
 
-    async def reserved(
+    async def reserve(
         self, progress: progress_module.Progress, replica: types.Replica
     ) -> bool:
         """Whether a request may run at a replica, and no copy elsewhere.
