--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -170,7 +170,7 @@
             exceptions.AnswerAbandoned: As `admit`.
         """
         fingerprint = progress.fingerprint
-        if not self.may_run(fingerprint, replica):
+        if not self.can_run(fingerprint, replica):
             return False
         if self.crash_log.count(fingerprint) < crashes_module.MOST_CRASHES - 1:
             return True
@@ -189,7 +189,7 @@
                 self.notify_peers()
         return alone
 
-    def may_run(self, fingerprint: int, replica: types.Replica) -> bool:
+    def can_run(self, fingerprint: int, replica: types.Replica) -> bool:
         """Whether a request may run at a replica now."""
         now = time.monotonic()
         if self.is_blocked(fingerprint, now):
