--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -278,7 +278,7 @@
             resumed=stream.last_event,
         )
         run = runs_module.Run(progress.fingerprint, replica, is_prefill=False)
-        self.quarantine.started(run)
+        self.quarantine.record_start(run)
         try:
             await self.exchange(run, instructions, stream, progress)
             self.quarantine.completed(run)
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -121,7 +121,7 @@
         self.directory.started(replica.instance, time.monotonic())
         progress.record_sent(replica, route=route.name)
         run = runs_module.Run(progress.fingerprint, replica, is_prefill=False)
-        self.quarantine.started(run)
+        self.quarantine.record_start(run)
         try:
             async with asyncio.timeout(limit):
                 answer = await self.exchange(replica, progress)
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -199,7 +199,7 @@
             return True
         return self.canaries.free(fingerprint, replica.instance, now)
 
-    def started(self, run: runs_module.Run) -> None:
+    def record_start(self, run: runs_module.Run) -> None:
         """Notes that a request starts to run."""
         verdict = self.crash_log.verdict(run.fingerprint, time.monotonic())
         if verdict != crashes_module.Verdict.CANARY:
