--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -56,7 +56,7 @@
 
     def output_forwarded(self) -> None:
         """An event went to the caller."""
-        self.quarantine.gave_output(self.run)
+        self.quarantine.record_output(self.run)
 
 
 class Generations:
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -209,7 +209,7 @@
         self.canaries.start(run.fingerprint, run.replica.instance)
         self.notify_peers()
 
-    def gave_output(self, run: runs_module.Run) -> None:
+    def record_output(self, run: runs_module.Run) -> None:
         """Notes that a run's output goes to its caller.
 
         A canary suspected of one crash, which had given none before, has come
