--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -281,7 +281,7 @@
         self.quarantine.record_start(run)
         try:
             await self.exchange(run, instructions, stream, progress)
-            self.quarantine.completed(run)
+            self.quarantine.record_completion(run)
         except exceptions.EndpointNotStarted as error:
             progress.record_not_run(replica)
             progress.record_failure(replica, str(error))
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -125,7 +125,7 @@
         try:
             async with asyncio.timeout(limit):
                 answer = await self.exchange(replica, progress)
-            self.quarantine.completed(run)
+            self.quarantine.record_completion(run)
             return answer
         except TimeoutError as error:
             self.record_failure(replica, progress, "silent", error)
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -221,7 +221,7 @@
         if run.is_canary and self.crash_log.count(run.fingerprint) <= 1:
             self.end(run)
 
-    def completed(self, run: runs_module.Run) -> None:
+    def record_completion(self, run: runs_module.Run) -> None:
         """Notes that a run came to its end."""
         if self.crash_log.count(run.fingerprint) > 1:
             self.store_crashes(run.fingerprint)
