--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -296,7 +296,7 @@
             self.prefills.release_handle(progress)
             raise
         finally:
-            self.quarantine.end(run)
+            self.quarantine.end_canary(run)
             self.directory.ended(replica.instance)
             self.directory.streams.remove(replica.instance, share)
             self.prefix_router.tell()
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -142,7 +142,7 @@
             self.record_failure(replica, progress, str(error), error)
             raise
         finally:
-            self.quarantine.end(run)
+            self.quarantine.end_canary(run)
             self.directory.ended(replica.instance)
 
     def record_failure(
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -219,7 +219,7 @@
             return
         run.has_output = True
         if run.is_canary and self.crash_log.count(run.fingerprint) <= 1:
-            self.end(run)
+            self.end_canary(run)
 
     def record_completion(self, run: runs_module.Run) -> None:
         """Notes that a run came to its end."""
@@ -232,7 +232,7 @@
                 instance=run.replica.instance,
             )
 
-    def end(self, run: runs_module.Run) -> None:
+    def end_canary(self, run: runs_module.Run) -> None:
         """Notes that a run is over, however it ended."""
         if not run.is_canary:
             return
