--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -291,7 +291,7 @@
             raise
         except exceptions.AnswerBroken as error:
             progress.record_failure(replica, str(error))
-            self.quarantine.interrupted(run)
+            self.quarantine.record_interruption(run)
             self.directory.failed(replica.instance, error, time.monotonic())
             self.prefills.release_handle(progress)
             raise
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -138,7 +138,7 @@
                 self.directory.refused(replica.instance, error, now)
             raise
         except exceptions.AnswerBroken as error:
-            self.quarantine.interrupted(run)
+            self.quarantine.record_interruption(run)
             self.record_failure(replica, progress, str(error), error)
             raise
         finally:
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -194,7 +194,7 @@
             raise
         except exceptions.EndpointError as error:
             if isinstance(error, exceptions.AnswerBroken):
-                self.quarantine.interrupted(
+                self.quarantine.record_interruption(
                     runs_module.Run(
                         progress.fingerprint, replica, is_prefill=True
                     )
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -240,7 +240,7 @@
         if self.canaries.end(run.fingerprint, time.monotonic()):
             self.notify_peers()
 
-    def interrupted(self, run: runs_module.Run) -> None:
+    def record_interruption(self, run: runs_module.Run) -> None:
         """Notes that a run's answer broke off; a crash may be the cause."""
         if not self.runs.add(run):
             return
