--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -53,7 +53,7 @@
         self.propagation_time: Callable[[], float] = lambda: 0.0
         self.store_crashes: Callable[[int], None] = lambda fingerprint: None
         runs.crash_listeners.append(self.crashed)
-        runs.survival_listeners.append(self.survived)
+        runs.survival_listeners.append(self.record_survival)
 
     def admit(self, progress: progress_module.Progress) -> None:
         """Refuses a request in quarantine.
@@ -250,7 +250,7 @@
         )
         self.notify_peers()
 
-    def survived(self, interrupted: list[runs_module.Run]) -> None:
+    def record_survival(self, interrupted: list[runs_module.Run]) -> None:
         """Takes in that a replica lives: its connections were reset."""
         for run in interrupted:
             self.canaries.end(run.fingerprint, time.monotonic())
