--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -52,7 +52,7 @@
         self.is_relay: Callable[[], bool] = lambda: False
         self.propagation_time: Callable[[], float] = lambda: 0.0
         self.store_crashes: Callable[[int], None] = lambda fingerprint: None
-        runs.crash_listeners.append(self.crashed)
+        runs.crash_listeners.append(self.record_crash)
         runs.survival_listeners.append(self.record_survival)
 
     def admit(self, progress: progress_module.Progress) -> None:
@@ -256,7 +256,7 @@
             self.canaries.end(run.fingerprint, time.monotonic())
         self.notify_peers()
 
-    def crashed(self, crash: runs_module.Crash) -> None:
+    def record_crash(self, crash: runs_module.Crash) -> None:
         """Takes in a crash that interrupted runs of this node."""
         replica = crashes_module.Incarnation(
             crash.replica.instance, crash.replica.started_at
