--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -268,12 +268,12 @@
             quarantined = self.crash_log.interrupted(
                 replica, run.fingerprint, output, now
             )
-            self.note(run.fingerprint, quarantined, replica)
+            self.log_quarantine(run.fingerprint, quarantined, replica)
             if self.crash_log.count(run.fingerprint) > 1:
                 self.store_crashes(run.fingerprint)
         self.notify_peers()
 
-    def note(
+    def log_quarantine(
         self,
         fingerprint: int,
         quarantined: bool,
@@ -335,7 +335,9 @@
         news = False
         for suspicion in suspicions:
             quarantined = self.crash_log.merge(suspicion, pass_on, now)
-            self.note(suspicion.fingerprint, quarantined, suspicion.replica)
+            self.log_quarantine(
+                suspicion.fingerprint, quarantined, suspicion.replica
+            )
             news |= quarantined
         return news
 
