--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -292,7 +292,7 @@
             crashes=sorted(crashes),
         )
 
-    def updates(self, most: int) -> crash_news.News:
+    def updates(self, max_entries: int) -> crash_news.News:
         """What other nodes are sent next, canaries first.
 
         A reservation has to be known everywhere before its request runs.
@@ -302,11 +302,11 @@
         """
         now = time.monotonic()
         running = []
-        for one in self.canaries.updates(self.is_relay(), now, most):
+        for one in self.canaries.updates(self.is_relay(), now, max_entries):
             left = min(canaries_module.LIFE, max(0.0, one.until - now))
             running.append(messages.Canary(*one[:-1], left))
         interrupted = []
-        for one in self.crash_log.updates(now, most - len(running)):
+        for one in self.crash_log.updates(now, max_entries - len(running)):
             interrupted.append(
                 messages.Interrupted(
                     one.replica.instance,
