--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -138,7 +138,7 @@
                     replica, fingerprint, crash.output, False
                 )
             )
-        self.quarantine.take(suspicions, True)
+        self.quarantine.merge_suspicions(suspicions, True)
 
     async def write(self, fingerprint: int) -> None:
         """Writes the crashes of a request, or drops its record."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -319,7 +319,7 @@
         more = bool(self.crash_log.news or self.canaries.news)
         return crash_news.News(interrupted, running, more)
 
-    def take(
+    def merge_suspicions(
         self, suspicions: list[crashes_module.Interrupted], pass_on: bool
     ) -> bool:
         """Takes in suspicions of another node, or from the store.
@@ -351,7 +351,7 @@
                     replica, one.fingerprint, one.output, one.cleared
                 )
             )
-        news = self.take(suspicions, self.is_relay())
+        news = self.merge_suspicions(suspicions, self.is_relay())
         now = time.monotonic()
         for one in message.canaries:
             canary = canaries_module.Canary(
