--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -320,7 +320,7 @@
         return crash_news.News(interrupted, running, more)
 
     def merge_suspicions(
-        self, suspicions: list[crashes_module.Interrupted], pass_on: bool
+        self, suspicions: list[crashes_module.Interrupted], forward: bool
     ) -> bool:
         """Takes in suspicions of another node, or from the store.
 
@@ -334,7 +334,7 @@
         now = time.monotonic()
         news = False
         for suspicion in suspicions:
-            quarantined = self.crash_log.merge(suspicion, pass_on, now)
+            quarantined = self.crash_log.merge(suspicion, forward, now)
             self.log_quarantine(
                 suspicion.fingerprint, quarantined, suspicion.replica
             )
