--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -376,7 +376,7 @@
         self.members.hear(member, now)
         self.entries.roster.meet(member)
         if isinstance(message, messages.Crashes):
-            self.crashes.merge(message)
+            self.crashes.merge_message(message)
         elif isinstance(message, messages.Report):
             self.hear_report(member, message, now)
         else:
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -341,7 +341,7 @@
             news |= quarantined
         return news
 
-    def merge(self, message: messages.Crashes) -> None:
+    def merge_message(self, message: messages.Crashes) -> None:
         """Takes in what another node has sent."""
         suspicions = []
         for one in message.interrupted:
