--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -23,7 +23,7 @@
 from gypsumfold.platform import store as store_module
 
 # Seconds between two looks whether this node is to read the records.
-LOOK = 0.2
+POLL_INTERVAL = 0.2
 
 
 class CrashRecord(msgspec.Struct, array_like=True):
@@ -93,7 +93,7 @@
             if self.reads():
                 await self.retried(self.read_newest)
                 return
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(POLL_INTERVAL)
 
     async def retried(self, call: Callable[[], Awaitable]) -> None:
         """Makes a call until it succeeds."""
