--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -36,7 +36,7 @@
     """
 
     instance: str
-    started: int
+    started_at: int
     output: bool
 
 
@@ -132,7 +132,9 @@
             return
         suspicions = []
         for crash in found.crashes:
-            replica = crashes_module.Incarnation(crash.instance, crash.started)
+            replica = crashes_module.Incarnation(
+                crash.instance, crash.started_at
+            )
             suspicions.append(
                 crashes_module.Interrupted(
                     replica, fingerprint, crash.output, False
