--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -37,7 +37,7 @@
 
     instance: str
     started_at: int
-    output: bool
+    has_output: bool
 
 
 class RequestRecord(msgspec.Struct):
@@ -137,7 +137,7 @@
             )
             suspicions.append(
                 crashes_module.Interrupted(
-                    replica, fingerprint, crash.output, False
+                    replica, fingerprint, crash.has_output, False
                 )
             )
         self.quarantine.merge_suspicions(suspicions, True)
