--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -68,7 +68,7 @@
     ):
         self.store = store
         self.quarantine = quarantine
-        self.reads = reads
+        self.reads_store = reads
         self.waiting: dict[int, bool] = {}
         self.due = asyncio.Event()
         quarantine.store_crashes = self.remember
@@ -90,7 +90,7 @@
     async def read(self) -> None:
         """Reads all records, on a node that reads the store for others."""
         while True:
-            if self.reads():
+            if self.reads_store():
                 await self.retried(self.read_newest)
                 return
             await asyncio.sleep(POLL_INTERVAL)
