--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -64,11 +64,11 @@
         self,
         store: store_module.Store,
         quarantine: quarantine_module.Quarantine,
-        reads: Callable[[], bool],
+        reads_store: Callable[[], bool],
     ):
         self.store = store
         self.quarantine = quarantine
-        self.reads_store = reads
+        self.reads_store = reads_store
         self.waiting: dict[int, bool] = {}
         self.due = asyncio.Event()
         quarantine.store_crashes = self.remember
