--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -69,13 +69,13 @@
         self.store = store
         self.quarantine = quarantine
         self.reads_store = reads_store
-        self.waiting: dict[int, bool] = {}
+        self.pending: dict[int, bool] = {}
         self.due = asyncio.Event()
         quarantine.store_crashes = self.remember
 
     def remember(self, fingerprint: int) -> None:
         """Has the record of a request written, or dropped if it was cleared."""
-        self.waiting[fingerprint] = True
+        self.pending[fingerprint] = True
         self.due.set()
 
     async def run(self) -> None:
@@ -83,8 +83,8 @@
         while True:
             await self.due.wait()
             self.due.clear()
-            for fingerprint in list(self.waiting):
-                del self.waiting[fingerprint]
+            for fingerprint in list(self.pending):
+                del self.pending[fingerprint]
                 await self.retried(functools.partial(self.write, fingerprint))
 
     async def read(self) -> None:
