--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -70,19 +70,19 @@
         self.quarantine = quarantine
         self.reads_store = reads_store
         self.pending: dict[int, bool] = {}
-        self.due = asyncio.Event()
+        self.pending_added = asyncio.Event()
         quarantine.store_crashes = self.remember
 
     def remember(self, fingerprint: int) -> None:
         """Has the record of a request written, or dropped if it was cleared."""
         self.pending[fingerprint] = True
-        self.due.set()
+        self.pending_added.set()
 
     async def run(self) -> None:
         """Writes for as long as the node runs."""
         while True:
-            await self.due.wait()
-            self.due.clear()
+            await self.pending_added.wait()
+            self.pending_added.clear()
             for fingerprint in list(self.pending):
                 del self.pending[fingerprint]
                 await self.retried(functools.partial(self.write, fingerprint))
