--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -71,9 +71,9 @@
         self.reads_store = reads_store
         self.pending: dict[int, bool] = {}
         self.pending_added = asyncio.Event()
-        quarantine.store_crashes = self.remember
+        quarantine.store_crashes = self.schedule_write
 
-    def remember(self, fingerprint: int) -> None:
+    def schedule_write(self, fingerprint: int) -> None:
         """Has the record of a request written, or dropped if it was cleared."""
         self.pending[fingerprint] = True
         self.pending_added.set()
@@ -128,7 +128,7 @@
             return
         age = time.time() - found.written_at
         if age > crashes_module.LONGEST_QUARANTINE:
-            self.remember(fingerprint)
+            self.schedule_write(fingerprint)
             return
         suspicions = []
         for crash in found.crashes:
