--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -85,17 +85,19 @@
             self.pending_added.clear()
             for fingerprint in list(self.pending):
                 del self.pending[fingerprint]
-                await self.retried(functools.partial(self.write, fingerprint))
+                await self.call_until_success(
+                    functools.partial(self.write, fingerprint)
+                )
 
     async def read(self) -> None:
         """Reads all records, on a node that reads the store for others."""
         while True:
             if self.reads_store():
-                await self.retried(self.read_newest)
+                await self.call_until_success(self.read_newest)
                 return
             await asyncio.sleep(POLL_INTERVAL)
 
-    async def retried(self, call: Callable[[], Awaitable]) -> None:
+    async def call_until_success(self, call: Callable[[], Awaitable]) -> None:
         """Makes a call until it succeeds."""
         failures = 0
         while True:
