--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -93,7 +93,7 @@
         """Reads all records, on a node that reads the store for others."""
         while True:
             if self.reads_store():
-                await self.call_until_success(self.read_newest)
+                await self.call_until_success(self.read_all)
                 return
             await asyncio.sleep(POLL_INTERVAL)
 
@@ -113,7 +113,7 @@
                 )
             await asyncio.sleep(polling.retry(failures, random.random()))
 
-    async def read_newest(self) -> None:
+    async def read_all(self) -> None:
         """Reads all records once."""
         page = await self.store.newest(names.CRASHES_TOPIC)
         for record in page.records:
