--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -118,9 +118,9 @@
         page = await self.store.newest(names.CRASHES_TOPIC)
         for record in page.records:
             if record.value:
-                self.take(record)
+                self.apply(record)
 
-    def take(self, record: store_module.Record) -> None:
+    def apply(self, record: store_module.Record) -> None:
         """Takes one record in; a very old one says nothing any more."""
         try:
             fingerprint = int(record.key, 16)
