--- a/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
@@ -5,7 +5,7 @@
 from gypsumfold.gateway import types
 
 # Bytes of a digest.
-SIZE = 8
+DIGEST_BYTES = 8
 # Header fields beside the model's that say on whose behalf a request runs.
 CREDENTIALS = frozenset((b"authorization", b"cookie"))
 
@@ -22,7 +22,7 @@
     Returns:
         An unsigned integer of `SIZE` bytes.
     """
-    digest = hashlib.blake2b(digest_size=SIZE)
+    digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
     parts = [
         call.method.encode(),
         call.host.lower().encode(),
@@ -43,4 +43,4 @@
 
 def text(value: int) -> str:
     """Writes a fingerprint as log lines have it."""
-    return f"{value:0{2 * SIZE}x}"
+    return f"{value:0{2 * DIGEST_BYTES}x}"
