--- a/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
@@ -7,7 +7,7 @@
 # Bytes of a digest.
 DIGEST_BYTES = 8
 # Header fields beside the model's that say on whose behalf a request runs.
-CREDENTIALS = frozenset((b"authorization", b"cookie"))
+CREDENTIAL_FIELDS = frozenset((b"authorization", b"cookie"))
 
 
 def fingerprint(call: types.Call) -> int:
@@ -31,7 +31,7 @@
         repr((call.chain, call.prompt_tokens, call.output_tokens)).encode(),
     ]
     for name, value in call.fields:
-        if name.lower() in CREDENTIALS:
+        if name.lower() in CREDENTIAL_FIELDS:
             parts.append(value)
     parts.append(call.body or b"")
     for part in parts:
