--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -157,5 +157,5 @@
         if crashes:
             value = msgspec.json.encode(RequestRecord(time.time(), crashes))
         await self.store.put(
-            names.CRASHES_TOPIC, fingerprints.text(fingerprint), value
+            names.CRASHES_TOPIC, fingerprints.to_hex(fingerprint), value
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
@@ -41,6 +41,6 @@
     return int.from_bytes(digest.digest())
 
 
-def text(value: int) -> str:
+def to_hex(value: int) -> str:
     """Writes a fingerprint as log lines have it."""
     return f"{value:0{2 * DIGEST_BYTES}x}"
--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -102,7 +102,7 @@
             events.log(
                 events.CALL_ENDED,
                 request=call.id,
-                fingerprint=fingerprints.text(progress.fingerprint),
+                fingerprint=fingerprints.to_hex(progress.fingerprint),
                 route=route.name,
                 service=service,
                 version=configuration.version,
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -130,7 +130,7 @@
         events.log(
             events.PROMPT_PLACED,
             request=call.id,
-            fingerprint=fingerprints.text(progress.fingerprint),
+            fingerprint=fingerprints.to_hex(progress.fingerprint),
             instance=choice.engine,
             tokens=choice.tokens,
             expected=round(choice.total, 3),
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -88,7 +88,7 @@
         events.log(
             events.CALL_PLACED,
             request=self.call.id,
-            fingerprint=fingerprints.text(self.fingerprint),
+            fingerprint=fingerprints.to_hex(self.fingerprint),
             instance=replica.instance,
             left=round(self.time_left(), 3),
             **inputs,
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -71,7 +71,7 @@
         events.log(
             events.REQUEST_QUARANTINED,
             request=progress.call.id,
-            fingerprint=fingerprints.text(progress.fingerprint),
+            fingerprint=fingerprints.to_hex(progress.fingerprint),
             crashes=self.crash_log.count(progress.fingerprint),
             seconds=round(until - now, 3),
         )
@@ -136,7 +136,7 @@
         events.log(
             events.SUSPECT_HELD,
             request=progress.call.id,
-            fingerprint=fingerprints.text(progress.fingerprint),
+            fingerprint=fingerprints.to_hex(progress.fingerprint),
             crashes=self.crash_log.count(progress.fingerprint),
             seconds=round(held, 3),
             placed=placed,
@@ -228,7 +228,7 @@
         if self.crash_log.completed(run.fingerprint):
             events.log(
                 events.SUSPECT_CLEARED,
-                fingerprint=fingerprints.text(run.fingerprint),
+                fingerprint=fingerprints.to_hex(run.fingerprint),
                 instance=run.replica.instance,
             )
 
@@ -287,7 +287,7 @@
             crashes.append(suspicion.instance)
         events.log(
             events.QUARANTINE_BEGUN,
-            fingerprint=fingerprints.text(fingerprint),
+            fingerprint=fingerprints.to_hex(fingerprint),
             instance=replica.instance,
             crashes=sorted(crashes),
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -135,7 +135,7 @@
             return
         requests = []
         for run in runs:
-            requests.append(fingerprints.text(run.fingerprint))
+            requests.append(fingerprints.to_hex(run.fingerprint))
         events.log(
             events.REPLICA_CRASHED,
             instance=instance,
