--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -20,7 +20,7 @@
 # Seconds to connect: a VM answers within a few milliseconds, also one that is
 # slowed down ten times; nothing has been sent yet, so another replica can be
 # tried sooner than a lost packet is sent again (one second).
-CONNECT_LIMIT = 0.3
+CONNECT_TIMEOUT_SECONDS = 0.3
 # Largest head of an answer in bytes.
 HEAD_LIMIT = 65536
 # Milliseconds after which the kernel gives up bytes that nobody confirms.
@@ -251,7 +251,7 @@
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
         try:
-            async with asyncio.timeout(CONNECT_LIMIT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_SECONDS):
                 _, connection = await loop.create_connection(
                     Connection, host, int(port)
                 )
