--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -22,7 +22,7 @@
 # tried sooner than a lost packet is sent again (one second).
 CONNECT_TIMEOUT_SECONDS = 0.3
 # Largest head of an answer in bytes.
-HEAD_LIMIT = 65536
+MAX_HEAD_BYTES = 65536
 # Milliseconds after which the kernel gives up bytes that nobody confirms.
 UNCONFIRMED_LIMIT = 5000
 # Seconds of idleness after which a connection is not used again where the
@@ -47,7 +47,7 @@
 
     def __init__(self):
         self.state = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=HEAD_LIMIT
+            h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self.transport: asyncio.Transport | None = None
         self.waiter: asyncio.Future | None = None
