--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -24,7 +24,7 @@
 # Largest head of an answer in bytes.
 MAX_HEAD_BYTES = 65536
 # Milliseconds after which the kernel gives up bytes that nobody confirms.
-UNCONFIRMED_LIMIT = 5000
+UNACKNOWLEDGED_TIMEOUT_MS = 5000
 # Seconds of idleness after which a connection is not used again where the
 # replica states no time itself.
 IDLE_LIMIT = 10.0
@@ -67,7 +67,9 @@
         if sock is not None:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
             sock.setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNCONFIRMED_LIMIT
+                socket.IPPROTO_TCP,
+                socket.TCP_USER_TIMEOUT,
+                UNACKNOWLEDGED_TIMEOUT_MS,
             )
 
     def data_received(self, data: bytes) -> None:
