--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -27,7 +27,7 @@
 UNACKNOWLEDGED_TIMEOUT_MS = 5000
 # Seconds of idleness after which a connection is not used again where the
 # replica states no time itself.
-IDLE_LIMIT = 10.0
+IDLE_TIMEOUT_SECONDS = 10.0
 # Seconds before the replica's own limit at which a connection counts as
 # closed: a request that crosses the close may not be repeated.
 IDLE_MARGIN = 0.6
@@ -56,7 +56,7 @@
         self.lost = False
         self.error: Exception | None = None
         self.idle_since = 0.0
-        self.idle_limit = IDLE_LIMIT
+        self.idle_limit = IDLE_TIMEOUT_SECONDS
         self.heard = 0.0
         self.unread = 0
 
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -234,6 +234,6 @@
     """Seconds for which a connection may be kept, from its header."""
     found = KEEP_ALIVE.search(value)
     if found is None:
-        return connections.IDLE_LIMIT
+        return connections.IDLE_TIMEOUT_SECONDS
     limit = float(found[1]) - connections.IDLE_MARGIN
-    return min(limit, connections.IDLE_LIMIT)
+    return min(limit, connections.IDLE_TIMEOUT_SECONDS)
