--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -30,7 +30,7 @@
 IDLE_TIMEOUT_SECONDS = 10.0
 # Seconds before the replica's own limit at which a connection counts as
 # closed: a request that crosses the close may not be repeated.
-IDLE_MARGIN = 0.6
+IDLE_MARGIN_SECONDS = 0.6
 # Bytes of a streamed body that may wait until the socket is paused.
 MOST_WAITING = 256 * 1024
 # SO_LINGER with no time: closing resets the connection and drops what the
