--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -32,7 +32,7 @@
 # closed: a request that crosses the close may not be repeated.
 IDLE_MARGIN_SECONDS = 0.6
 # Bytes of a streamed body that may wait until the socket is paused.
-MOST_WAITING = 256 * 1024
+MAX_UNREAD_BYTES = 256 * 1024
 # SO_LINGER with no time: closing resets the connection and drops what the
 # kernel has not sent yet.
 NO_LINGER = struct.pack("ii", 1, 0)
@@ -97,7 +97,7 @@
     def feed(self, data: bytes) -> None:
         """Passes bytes to the parser; a failure shows in `next_event`."""
         self.unread += len(data)
-        if self.unread > MOST_WAITING:
+        if self.unread > MAX_UNREAD_BYTES:
             self.transport.pause_reading()
         try:
             self.state.receive_data(data)
@@ -176,7 +176,7 @@
     def taken(self, size: int) -> None:
         """Reads on once what waited has been taken."""
         self.unread = max(0, self.unread - size)
-        if self.unread <= MOST_WAITING and not self.lost:
+        if self.unread <= MAX_UNREAD_BYTES and not self.lost:
             self.transport.resume_reading()
 
     async def wait(self) -> None:
