--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -35,7 +35,7 @@
 MAX_UNREAD_BYTES = 256 * 1024
 # SO_LINGER with no time: closing resets the connection and drops what the
 # kernel has not sent yet.
-NO_LINGER = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Connection(asyncio.Protocol):
@@ -123,7 +123,9 @@
         if not self.idle and not self.transport.is_closing():
             sock = self.transport.get_extra_info("socket")
             if sock is not None:
-                sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGER)
+                sock.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+                )
         self.transport.abort()
 
     def request(
