--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -46,7 +46,7 @@
     """
 
     def __init__(self):
-        self.state = h11.Connection(
+        self.parser = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
         self.transport: asyncio.Transport | None = None
@@ -100,7 +100,7 @@
         if self.unread > MAX_UNREAD_BYTES:
             self.transport.pause_reading()
         try:
-            self.state.receive_data(data)
+            self.parser.receive_data(data)
         except h11.RemoteProtocolError as error:
             self.error = error
             self.spoil()
@@ -140,10 +140,10 @@
             raise exceptions.EndpointNotStarted("the connection was closed")
         try:
             head = h11.Request(method=method, target=target, headers=fields)
-            data = self.state.send(head)
+            data = self.parser.send(head)
             if body:
-                data += self.state.send(h11.Data(data=body))
-            data += self.state.send(h11.EndOfMessage()) or b""
+                data += self.parser.send(h11.Data(data=body))
+            data += self.parser.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as error:
             self.spoil()
             raise exceptions.EndpointNotStarted(str(error)) from error
@@ -158,7 +158,7 @@
         """
         while True:
             try:
-                event = self.state.next_event()
+                event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
                 self.spoil()
                 raise exceptions.AnswerBroken(str(error)) from error
@@ -195,14 +195,14 @@
         Bytes beyond the answer belong to no request, and one that has them
         is not used again.
         """
-        done = self.state.their_state is h11.DONE
-        if not done or self.state.our_state is not h11.DONE or self.lost:
+        done = self.parser.their_state is h11.DONE
+        if not done or self.parser.our_state is not h11.DONE or self.lost:
             self.spoil()
             return False
-        if self.state.trailing_data[0] or not self.usable:
+        if self.parser.trailing_data[0] or not self.usable:
             self.spoil()
             return False
-        self.state.start_next_cycle()
+        self.parser.start_next_cycle()
         self.unread = 0
         self.idle = True
         self.idle_since = time.monotonic()
