--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -57,7 +57,7 @@
         self.error: Exception | None = None
         self.idle_since = 0.0
         self.idle_limit = IDLE_TIMEOUT_SECONDS
-        self.heard = 0.0
+        self.last_received = 0.0
         self.unread = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -74,7 +74,7 @@
 
     def data_received(self, data: bytes) -> None:
         """Takes bytes in; while no request waits they belong to none."""
-        self.heard = time.monotonic()
+        self.last_received = time.monotonic()
         if self.idle:
             self.spoil()
             return
