--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -58,7 +58,7 @@
         self.idle_since = 0.0
         self.idle_limit = IDLE_TIMEOUT_SECONDS
         self.last_received = 0.0
-        self.unread = 0
+        self.unread_bytes = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
         """Notes the transport and sets the socket's options."""
@@ -96,8 +96,8 @@
 
     def feed(self, data: bytes) -> None:
         """Passes bytes to the parser; a failure shows in `next_event`."""
-        self.unread += len(data)
-        if self.unread > MAX_UNREAD_BYTES:
+        self.unread_bytes += len(data)
+        if self.unread_bytes > MAX_UNREAD_BYTES:
             self.transport.pause_reading()
         try:
             self.parser.receive_data(data)
@@ -177,8 +177,8 @@
 
     def taken(self, size: int) -> None:
         """Reads on once what waited has been taken."""
-        self.unread = max(0, self.unread - size)
-        if self.unread <= MAX_UNREAD_BYTES and not self.lost:
+        self.unread_bytes = max(0, self.unread_bytes - size)
+        if self.unread_bytes <= MAX_UNREAD_BYTES and not self.lost:
             self.transport.resume_reading()
 
     async def wait(self) -> None:
@@ -203,7 +203,7 @@
             self.spoil()
             return False
         self.parser.start_next_cycle()
-        self.unread = 0
+        self.unread_bytes = 0
         self.idle = True
         self.idle_since = time.monotonic()
         return True
