--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -76,7 +76,7 @@
         """Takes bytes in; while no request waits they belong to none."""
         self.last_received = time.monotonic()
         if self.idle:
-            self.spoil()
+            self.abort()
             return
         self.feed(data)
 
@@ -103,7 +103,7 @@
             self.parser.receive_data(data)
         except h11.RemoteProtocolError as error:
             self.error = error
-            self.spoil()
+            self.abort()
         self.wake()
 
     def wake(self) -> None:
@@ -111,7 +111,7 @@
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
-    def spoil(self) -> None:
+    def abort(self) -> None:
         """Closes the connection at once; it is not used again.
 
         A request in progress is given up: an orderly close would let the
@@ -145,7 +145,7 @@
                 data += self.parser.send(h11.Data(data=body))
             data += self.parser.send(h11.EndOfMessage()) or b""
         except h11.LocalProtocolError as error:
-            self.spoil()
+            self.abort()
             raise exceptions.EndpointNotStarted(str(error)) from error
         self.idle = False
         self.transport.write(data)
@@ -160,7 +160,7 @@
             try:
                 event = self.parser.next_event()
             except h11.RemoteProtocolError as error:
-                self.spoil()
+                self.abort()
                 raise exceptions.AnswerBroken(str(error)) from error
             if event is h11.NEED_DATA:
                 if self.lost:
@@ -197,10 +197,10 @@
         """
         done = self.parser.their_state is h11.DONE
         if not done or self.parser.our_state is not h11.DONE or self.lost:
-            self.spoil()
+            self.abort()
             return False
         if self.parser.trailing_data[0] or not self.usable:
-            self.spoil()
+            self.abort()
             return False
         self.parser.start_next_cycle()
         self.unread_bytes = 0
@@ -238,7 +238,7 @@
             connection = kept.pop()
             if connection.fresh(now):
                 return connection
-            connection.spoil()
+            connection.abort()
         return await self.open(address)
 
     def is_connected(self, replica: types.Replica) -> bool:
@@ -279,7 +279,7 @@
     def forget(self, address: str, instance: str) -> None:
         """Closes the idle connections to a replica that is gone."""
         for connection in self.idle.pop((address, instance), ()):
-            connection.spoil()
+            connection.abort()
 
     def close(self) -> None:
         """Closes all idle connections."""
@@ -325,7 +325,7 @@
                     self.replica.address, self.replica.instance, self.connection
                 )
                 return
-            self.connection.spoil()
+            self.connection.abort()
             raise exceptions.AnswerBroken("the replica closed early")
 
     async def read(self) -> bytes:
@@ -342,7 +342,7 @@
     def close(self) -> None:
         """Ends the exchange; the replica drops what still runs."""
         if not self.ended:
-            self.connection.spoil()
+            self.connection.abort()
 
 
 def _length(head: h11.Response) -> int | None:
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -191,7 +191,7 @@
             done = isinstance(event, h11.Response)
         finally:
             if not done:
-                connection.spoil()
+                connection.abort()
         if not done:
             raise exceptions.AnswerBroken("the replica closed unanswered")
         for name, value in event.headers:
