--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -92,7 +92,7 @@
         self.usable = False
         self.lost = True
         self.error = error
-        self.wake()
+        self.wake_reader()
 
     def feed(self, data: bytes) -> None:
         """Passes bytes to the parser; a failure shows in `next_event`."""
@@ -104,9 +104,9 @@
         except h11.RemoteProtocolError as error:
             self.error = error
             self.abort()
-        self.wake()
+        self.wake_reader()
 
-    def wake(self) -> None:
+    def wake_reader(self) -> None:
         """Lets the reader look again."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
