--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -172,10 +172,10 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if isinstance(event, h11.Data):
-                self.taken(len(event.data))
+                self.consumed(len(event.data))
             return event
 
-    def taken(self, size: int) -> None:
+    def consumed(self, size: int) -> None:
         """Reads on once what waited has been taken."""
         self.unread_bytes = max(0, self.unread_bytes - size)
         if self.unread_bytes <= MAX_UNREAD_BYTES and not self.lost:
