--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -167,7 +167,7 @@
                     raise exceptions.AnswerBroken(
                         f"the connection ended: {self.error}"
                     )
-                await self.wait()
+                await self.wait_for_data()
                 continue
             if isinstance(event, h11.InformationalResponse):
                 continue
@@ -181,7 +181,7 @@
         if self.unread_bytes <= MAX_UNREAD_BYTES and not self.lost:
             self.transport.resume_reading()
 
-    async def wait(self) -> None:
+    async def wait_for_data(self) -> None:
         """Waits for bytes or the end."""
         self.waiter = asyncio.get_running_loop().create_future()
         try:
