--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -189,7 +189,7 @@
         finally:
             self.waiter = None
 
-    def finish(self) -> bool:
+    def reset_for_reuse(self) -> bool:
         """Makes the connection ready for another request, if it can be.
 
         Bytes beyond the answer belong to no request, and one that has them
@@ -272,7 +272,7 @@
 
     def give(self, address: str, instance: str, connection: Connection) -> None:
         """Takes a connection back after its answer."""
-        if connection.finish():
+        if connection.reset_for_reuse():
             key = (address, instance)
             self.idle.setdefault(key, []).append(connection)
 
