--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -208,7 +208,7 @@
         self.idle_since = time.monotonic()
         return True
 
-    def fresh(self, now: float) -> bool:
+    def is_reusable(self, now: float) -> bool:
         """Whether it may be used for another request."""
         if not self.usable or self.lost or self.transport.is_closing():
             return False
@@ -236,7 +236,7 @@
         now = time.monotonic()
         while kept:
             connection = kept.pop()
-            if connection.fresh(now):
+            if connection.is_reusable(now):
                 return connection
             connection.abort()
         return await self.open(address)
@@ -244,7 +244,7 @@
     def is_connected(self, replica: types.Replica) -> bool:
         """Whether a request to a replica would find a connection open."""
         kept = self.idle.get((replica.address, replica.instance))
-        return bool(kept) and kept[-1].fresh(time.monotonic())
+        return bool(kept) and kept[-1].is_reusable(time.monotonic())
 
     async def open(self, address: str) -> Connection:
         """Opens a connection.
