--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -56,7 +56,7 @@
         self.lost = False
         self.error: Exception | None = None
         self.idle_since = 0.0
-        self.idle_limit = IDLE_TIMEOUT_SECONDS
+        self.idle_timeout = IDLE_TIMEOUT_SECONDS
         self.last_received = 0.0
         self.unread_bytes = 0
 
@@ -212,7 +212,7 @@
         """Whether it may be used for another request."""
         if not self.usable or self.lost or self.transport.is_closing():
             return False
-        return now - self.idle_since < self.idle_limit
+        return now - self.idle_since < self.idle_timeout
 
 
 class Pool:
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -196,7 +196,7 @@
             raise exceptions.AnswerBroken("the replica closed unanswered")
         for name, value in event.headers:
             if name == b"keep-alive":
-                connection.idle_limit = idle_limit(value)
+                connection.idle_timeout = idle_limit(value)
         return connections.PooledAnswer(self.pool, replica, connection, event)
 
 
