--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -226,7 +226,7 @@
         self.idle: dict[tuple[str, str], list[Connection]] = {}
         self.opened = 0
 
-    async def take(self, address: str, instance: str) -> Connection:
+    async def acquire(self, address: str, instance: str) -> Connection:
         """Finds an idle connection or opens one.
 
         Raises:
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -183,7 +183,7 @@
         if body is not None:
             length = str(len(body)).encode()
             fields = [*fields, (b"Content-Length", length)]
-        connection = await self.pool.take(replica.address, replica.instance)
+        connection = await self.pool.acquire(replica.address, replica.instance)
         done = False
         try:
             connection.request(method, target, tuple(fields), body or b"")
