--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -270,7 +270,9 @@
         self.opened += 1
         return connection
 
-    def give(self, address: str, instance: str, connection: Connection) -> None:
+    def release(
+        self, address: str, instance: str, connection: Connection
+    ) -> None:
         """Takes a connection back after its answer."""
         if connection.reset_for_reuse():
             key = (address, instance)
@@ -321,7 +323,7 @@
                 continue
             if isinstance(event, h11.EndOfMessage):
                 self.ended = True
-                self.pool.give(
+                self.pool.release(
                     self.replica.address, self.replica.instance, self.connection
                 )
                 return
