--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -278,7 +278,7 @@
             key = (address, instance)
             self.idle.setdefault(key, []).append(connection)
 
-    def forget(self, address: str, instance: str) -> None:
+    def discard(self, address: str, instance: str) -> None:
         """Closes the idle connections to a replica that is gone."""
         for connection in self.idle.pop((address, instance), ()):
             connection.abort()
@@ -286,7 +286,7 @@
     def close(self) -> None:
         """Closes all idle connections."""
         for address, instance in list(self.idle):
-            self.forget(address, instance)
+            self.discard(address, instance)
 
 
 class PooledAnswer:
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -226,7 +226,7 @@
 
     def forget(self, replica: types.Replica) -> None:
         """Drops what is kept for a replica that is gone."""
-        self.pool.forget(replica.address, replica.instance)
+        self.pool.discard(replica.address, replica.instance)
         self.homes.forget(replica.instance)
 
     def registrations_pause(self) -> float:
