--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -28,7 +28,7 @@
     def __init__(self, pool: connections.Pool):
         self.pool = pool
 
-    def connected(self, replica: types.Replica) -> bool:
+    def is_connected(self, replica: types.Replica) -> bool:
         """Whether a call would find a connection open."""
         return self.pool.is_connected(replica)
 
