--- a/features/support/virtual_engines.py
+++ b/features/support/virtual_engines.py
@@ -307,7 +307,7 @@
         self.link = link
         self.cut = False
 
-    def connected(self, replica: types.Replica) -> bool:
+    def is_connected(self, replica: types.Replica) -> bool:
         """Whether a call would find a connection open."""
         return True
 
