--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -84,7 +84,7 @@
         self.calls: list[str] = []
         self.restart = restart
 
-    def connected(self, replica: types.Replica) -> bool:
+    def is_connected(self, replica: types.Replica) -> bool:
         """Whether a call would find a connection open."""
         return True
 
