--- a/features/support/virtual_callers.py
+++ b/features/support/virtual_callers.py
@@ -48,7 +48,7 @@
         self.status = 0
         self.ended = False
 
-    async def whole(self, status, reason, fields, body) -> None:
+    async def send(self, status, reason, fields, body) -> None:
         """Takes a whole answer."""
         self.status = status
         self.ended = True
