--- a/features/support/virtual_callers.py
+++ b/features/support/virtual_callers.py
@@ -53,7 +53,7 @@
         self.status = status
         self.ended = True
 
-    async def begin(self, status, reason, fields, length) -> None:
+    async def start(self, status, reason, fields, length) -> None:
         """Takes the head of an answer."""
         self.status = status
 
