--- a/features/support/virtual_callers.py
+++ b/features/support/virtual_callers.py
@@ -64,7 +64,7 @@
         """Takes the end of the body."""
         self.ended = True
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Takes a cut."""
 
 
@@ -155,7 +155,7 @@
             refused = isinstance(error, CRASHES)
             wait = error.retry_after or 0.0
         except exceptions.AnswerBroken:
-            reply.break_off()
+            reply.abort()
         seconds = self.site.clock() - call.arrival
         return End(body, call.id, status, refused, seconds), wait
 
