--- a/features/steps/crash_log_steps.py
+++ b/features/steps/crash_log_steps.py
@@ -195,7 +195,7 @@
     """Interrupts the requests at the replica as it is known by now."""
     for fingerprint in context.interrupted:
         run = runs_module.Run(fingerprint, REPLICA, is_prefill=False)
-        context.quarantine.interrupted(run)
+        context.quarantine.record_interruption(run)
 
 
 @behave.when("the replica answers the next question")
@@ -228,9 +228,9 @@
 
 @behave.when("the replica says that it has just started")
 def step_started(context):
-    context.directory.put(REPLICA._replace(born=1000))
+    context.directory.put(REPLICA._replace(started_at=1000))
     interrupt(context)
-    context.directory.put(REPLICA._replace(born=2000))
+    context.directory.put(REPLICA._replace(started_at=2000))
 
 
 @behave.when("the replica's entry goes")
@@ -241,12 +241,12 @@
 
 @behave.then("nobody is suspected")
 def step_nobody(context):
-    assert not context.quarantine.log.suspected
+    assert not context.quarantine.crash_log.suspected
 
 
 @behave.then("its requests are suspected")
 def step_suspected(context):
-    found = set(context.quarantine.log.suspected)
+    found = set(context.quarantine.crash_log.suspected)
     assert found == set(context.interrupted), found
 
 
@@ -328,5 +328,5 @@
 
 @behave.then("its caller gets the {status:d} at once")
 def step_gets(context, status):
-    assert context.reply.whole.call_args.args[0] == status
+    assert context.reply.send.call_args.args[0] == status
     assert len(context.sent) == 1, context.sent
--- a/features/steps/given_up_requests_steps.py
+++ b/features/steps/given_up_requests_steps.py
@@ -29,7 +29,7 @@
     body = b"x" * (megabytes << 20)
 
     async def spoilt():
-        connection = await context.pool.take(context.address, "i-1")
+        connection = await context.pool.acquire(context.address, "i-1")
         context.accepted, _ = context.listener.accept()
         fields = (
             (b"Host", HOST.encode()),
@@ -37,7 +37,7 @@
         )
         connection.request("POST", "/", fields, body)
         await asyncio.sleep(0)
-        connection.spoil()
+        connection.abort()
         await closed(connection)
 
     async def left():
@@ -71,15 +71,15 @@
 async def closed(connection):
     """Waits until a connection is gone."""
     if not connection.lost:
-        await connection.wait()
+        await connection.wait_for_data()
 
 
 @behave.when("the idle connection to it is closed")
 def step_idle(context):
     async def close():
-        connection = await context.pool.take(context.address, "i-1")
+        connection = await context.pool.acquire(context.address, "i-1")
         context.accepted, _ = context.listener.accept()
-        connection.spoil()
+        connection.abort()
         await closed(connection)
 
     asyncio.run(close())
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -270,7 +270,7 @@
     )
     placing.discard_lost_handle(context.progress, lambda: True)
     assert context.progress.handle is None
-    assert not context.progress.read_at
+    assert not context.progress.prefill_address
 
 
 @behave.given(
--- a/packages/gypsumfold/src/gypsumfold/gateway/line_writer.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/line_writer.py
@@ -13,7 +13,7 @@
     Attributes:
         dropped: Lines dropped so far.
 
-    >>> lines = BoundedLines(1)
+    >>> lines = NonBlockingLineWriter(1)
     >>> lines.write("one line")
     """
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -245,7 +245,7 @@
 
         Args:
             progress: Of its request.
-            may_repeat: Takes a repeat out of the site's budget, for the call
+            take_retry: Takes a retry out of the site's budget, for the call
                 that reads the prompt again. Where none is left the engine
                 that generates reads it itself.
         """
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -54,7 +54,7 @@
         Args:
             route: Its route.
             expected: Seconds until its prompt is read.
-            behind: Seconds of deferred prompts before it if it is deferred.
+            deferred_ahead: Seconds of deferred prompts before it, if deferred.
             load: Seconds for which it holds up others.
         """
         age = time.monotonic() - self.call.arrival
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -34,10 +34,10 @@
     """Decides whether and where a request may run, by the crashes it was in.
 
     Attributes:
-        changed: Called where other nodes are to be sent something at once.
-        relays: Whether this node passes on what others send.
-        spread: Seconds until all nodes have what was sent at once.
-        remember: Called with a request whose crashes the store is to keep.
+        notify_peers: Called where other nodes are to be sent something at once.
+        is_relay: Whether this node passes on what others send.
+        propagation_time: Seconds until all nodes have what was sent at once.
+        store_crashes: Called with a request whose crashes the store is to keep.
 
     >>> quarantine = Quarantine(runs)
     >>> quarantine.admit(progress)
@@ -292,7 +292,7 @@
             crashes=sorted(crashes),
         )
 
-    def updates(self, max_entries: int) -> crash_news.News:
+    def updates(self, most: int) -> crash_news.News:
         """What other nodes are sent next, canaries first.
 
         A reservation has to be known everywhere before its request runs.
@@ -302,11 +302,11 @@
         """
         now = time.monotonic()
         running = []
-        for one in self.canaries.updates(self.is_relay(), now, max_entries):
+        for one in self.canaries.updates(self.is_relay(), now, most):
             left = min(canaries_module.LIFE, max(0.0, one.until - now))
             running.append(messages.Canary(*one[:-1], left))
         interrupted = []
-        for one in self.crash_log.updates(now, max_entries - len(running)):
+        for one in self.crash_log.updates(now, most - len(running)):
             interrupted.append(
                 messages.Interrupted(
                     one.replica.instance,
@@ -326,7 +326,7 @@
 
         Args:
             suspicions: Which request was in which crash.
-            pass_on: Whether what is new is sent to other nodes.
+            forward: Whether what is new is sent to other nodes.
 
         Returns:
             Whether a request was put into quarantine by them.
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -58,7 +58,7 @@
         survived: Called with the interrupted runs of a replica that lives.
 
     >>> runs = Runs(directory)
-    >>> run = Run(fingerprint, replica, reading=False)
+    >>> run = Run(fingerprint, replica, is_prefill=False)
     >>> runs.interrupted(run)
     """
 
@@ -92,7 +92,7 @@
 
         Args:
             fingerprint: The request.
-            longest: Seconds after an interruption for which this counts.
+            max_age: Seconds after an interruption for which this counts.
         """
         start = time.monotonic() - max_age
         for runs in self.undecided.values():
