--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -17,7 +17,7 @@
 FORGOTTEN = 2.5
 
 
-class Teller:
+class DeltaEncoder:
     """Says which amounts are to be told.
 
     >>> teller = Teller()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -15,10 +15,10 @@
 class Teller(NamedTuple):
     """What is to be told of each sort of work."""
 
-    prompts: sums.Teller
-    streams: sums.Teller
-    late: sums.Teller
-    demand: sums.Teller
+    prompts: sums.DeltaEncoder
+    streams: sums.DeltaEncoder
+    late: sums.DeltaEncoder
+    demand: sums.DeltaEncoder
 
     def changed(self, amounts: messages.Amounts) -> messages.Sums:
         """What is new since the last time, and a part of the rest."""
@@ -57,7 +57,12 @@
 
 def teller() -> Teller:
     """Makes one that has told nothing."""
-    return Teller(sums.Teller(), sums.Teller(), sums.Teller(), sums.Teller())
+    return Teller(
+        sums.DeltaEncoder(),
+        sums.DeltaEncoder(),
+        sums.DeltaEncoder(),
+        sums.DeltaEncoder(),
+    )
 
 
 def listener() -> Listener:
