--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -59,7 +59,7 @@
         return xxhash.xxh3_64_intdigest(key.encode()) % TURNS == self.turn
 
 
-class Listener:
+class DeltaDecoder:
     """Keeps the amounts that one teller has told.
 
     >>> listener = Listener()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -33,10 +33,10 @@
 class Listener(NamedTuple):
     """What one teller has told of each sort of work."""
 
-    prompts: sums.Listener
-    streams: sums.Listener
-    late: sums.Listener
-    demand: sums.Listener
+    prompts: sums.DeltaDecoder
+    streams: sums.DeltaDecoder
+    late: sums.DeltaDecoder
+    demand: sums.DeltaDecoder
 
     def hear(self, changed: messages.Sums, now: float) -> None:
         """Takes in what the teller told."""
@@ -68,7 +68,10 @@
 def listener() -> Listener:
     """Makes one that has heard nothing."""
     return Listener(
-        sums.Listener(), sums.Listener(), sums.Listener(), sums.Listener()
+        sums.DeltaDecoder(),
+        sums.DeltaDecoder(),
+        sums.DeltaDecoder(),
+        sums.DeltaDecoder(),
     )
 
 
