--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -28,7 +28,7 @@
     """
 
     def __init__(self):
-        self.told: dict[str, int] = {}
+        self.sent: dict[str, int] = {}
         self.again: set[str] = set()
         self.turn = 0
 
@@ -41,8 +41,8 @@
             if value > 0:
                 rounded[key] = value
         changed = set()
-        for key in rounded.keys() | self.told.keys():
-            if rounded.get(key) != self.told.get(key):
+        for key in rounded.keys() | self.sent.keys():
+            if rounded.get(key) != self.sent.get(key):
                 changed.add(key)
         found = {}
         for key in changed | self.again:
@@ -50,7 +50,7 @@
         for key, value in rounded.items():
             if self.due(key):
                 found[key] = value
-        self.told = rounded
+        self.sent = rounded
         self.again = changed
         return found
 
