--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -29,7 +29,7 @@
 
     def __init__(self):
         self.sent: dict[str, int] = {}
-        self.again: set[str] = set()
+        self.resend: set[str] = set()
         self.turn = 0
 
     def changed(self, amounts: dict[str, float]) -> dict[str, int]:
@@ -45,13 +45,13 @@
             if rounded.get(key) != self.sent.get(key):
                 changed.add(key)
         found = {}
-        for key in changed | self.again:
+        for key in changed | self.resend:
             found[key] = rounded.get(key, 0)
         for key, value in rounded.items():
             if self.due(key):
                 found[key] = value
         self.sent = rounded
-        self.again = changed
+        self.resend = changed
         return found
 
     def due(self, key: str) -> bool:
