--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -30,11 +30,11 @@
     def __init__(self):
         self.sent: dict[str, int] = {}
         self.resend: set[str] = set()
-        self.turn = 0
+        self.round = 0
 
     def changed(self, amounts: dict[str, float]) -> dict[str, int]:
         """What is new in the last two times, and a part of the rest."""
-        self.turn = (self.turn + 1) % TURNS
+        self.round = (self.round + 1) % TURNS
         rounded = {}
         for key, amount in amounts.items():
             value = round(amount * SCALE)
@@ -56,7 +56,7 @@
 
     def due(self, key: str) -> bool:
         """Whether it is an amount's turn to be told again."""
-        return xxhash.xxh3_64_intdigest(key.encode()) % TURNS == self.turn
+        return xxhash.xxh3_64_intdigest(key.encode()) % TURNS == self.round
 
 
 class DeltaDecoder:
