--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -32,7 +32,7 @@
         self.resend: set[str] = set()
         self.round = 0
 
-    def changed(self, amounts: dict[str, float]) -> dict[str, int]:
+    def encode(self, amounts: dict[str, float]) -> dict[str, int]:
         """What is new in the last two times, and a part of the rest."""
         self.round = (self.round + 1) % TURNS
         rounded = {}
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -23,10 +23,10 @@
     def changed(self, amounts: messages.Amounts) -> messages.Sums:
         """What is new since the last time, and a part of the rest."""
         return messages.Sums(
-            self.prompts.changed(amounts.prompts),
-            self.streams.changed(amounts.streams),
-            self.late.changed(amounts.late),
-            self.demand.changed(amounts.demand),
+            self.prompts.encode(amounts.prompts),
+            self.streams.encode(amounts.streams),
+            self.late.encode(amounts.late),
+            self.demand.encode(amounts.demand),
         )
 
 
