--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -48,13 +48,13 @@
         for key in changed | self.resend:
             found[key] = rounded.get(key, 0)
         for key, value in rounded.items():
-            if self.due(key):
+            if self.is_due(key):
                 found[key] = value
         self.sent = rounded
         self.resend = changed
         return found
 
-    def due(self, key: str) -> bool:
+    def is_due(self, key: str) -> bool:
         """Whether it is an amount's turn to be told again."""
         return xxhash.xxh3_64_intdigest(key.encode()) % TURNS == self.round
 
