--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -69,22 +69,22 @@
     """
 
     def __init__(self):
-        self.told: dict[str, tuple[float, float]] = {}
+        self.received: dict[str, tuple[float, float]] = {}
 
     def hear(self, changed: dict[str, int], now: float) -> None:
         """Takes in what a teller told."""
         for key, value in changed.items():
             if value:
-                self.told[key] = (value / SCALE, now)
+                self.received[key] = (value / SCALE, now)
             else:
-                self.told.pop(key, None)
+                self.received.pop(key, None)
 
     def amounts(self, now: float) -> dict[str, float]:
         """The amounts that still count."""
         found = {}
-        for key, (amount, told) in list(self.told.items()):
+        for key, (amount, told) in list(self.received.items()):
             if now - told > FORGOTTEN:
-                del self.told[key]
+                del self.received[key]
                 continue
             found[key] = amount
         return found
