--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -71,7 +71,7 @@
     def __init__(self):
         self.received: dict[str, tuple[float, float]] = {}
 
-    def hear(self, changed: dict[str, int], now: float) -> None:
+    def receive(self, changed: dict[str, int], now: float) -> None:
         """Takes in what a teller told."""
         for key, value in changed.items():
             if value:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -40,10 +40,10 @@
 
     def hear(self, changed: messages.Sums, now: float) -> None:
         """Takes in what the teller told."""
-        self.prompts.hear(changed.prompts, now)
-        self.streams.hear(changed.streams, now)
-        self.late.hear(changed.late, now)
-        self.demand.hear(changed.demand, now)
+        self.prompts.receive(changed.prompts, now)
+        self.streams.receive(changed.streams, now)
+        self.late.receive(changed.late, now)
+        self.demand.receive(changed.demand, now)
 
     def amounts(self, now: float) -> messages.Amounts:
         """The amounts that still count."""
