--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -90,7 +90,7 @@
         return found
 
 
-def without(
+def subtract(
     amounts: dict[str, float], own: dict[str, float]
 ) -> dict[str, float]:
     """What is left of sums without a node's own part of them."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -163,10 +163,10 @@
 ) -> messages.Amounts:
     """What is left of sums without a node's own part of them."""
     return messages.Amounts(
-        sums.without(amounts.prompts, own.prompts),
-        sums.without(amounts.streams, own.streams),
-        sums.without(amounts.late, own.late),
-        sums.without(amounts.demand, own.demand),
+        sums.subtract(amounts.prompts, own.prompts),
+        sums.subtract(amounts.streams, own.streams),
+        sums.subtract(amounts.late, own.late),
+        sums.subtract(amounts.demand, own.demand),
     )
 
 
