--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -14,7 +14,7 @@
 TURNS = 10
 # Seconds after which an amount that was not told again no longer counts; with
 # a message each tenth of a second two of its turns were lost.
-FORGOTTEN = 2.5
+EXPIRY_SECONDS = 2.5
 
 
 class DeltaEncoder:
@@ -83,7 +83,7 @@
         """The amounts that still count."""
         found = {}
         for key, (amount, told) in list(self.received.items()):
-            if now - told > FORGOTTEN:
+            if now - told > EXPIRY_SECONDS:
                 del self.received[key]
                 continue
             found[key] = amount
