--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -11,7 +11,7 @@
 # Amounts are told in thousandths.
 SCALE = 1000
 # Messages within which each amount is told again.
-TURNS = 10
+RESEND_ROUNDS = 10
 # Seconds after which an amount that was not told again no longer counts; with
 # a message each tenth of a second two of its turns were lost.
 EXPIRY_SECONDS = 2.5
@@ -34,7 +34,7 @@
 
     def encode(self, amounts: dict[str, float]) -> dict[str, int]:
         """What is new in the last two times, and a part of the rest."""
-        self.round = (self.round + 1) % TURNS
+        self.round = (self.round + 1) % RESEND_ROUNDS
         rounded = {}
         for key, amount in amounts.items():
             value = round(amount * SCALE)
@@ -56,7 +56,9 @@
 
     def is_due(self, key: str) -> bool:
         """Whether it is an amount's turn to be told again."""
-        return xxhash.xxh3_64_intdigest(key.encode()) % TURNS == self.round
+        return (
+            xxhash.xxh3_64_intdigest(key.encode()) % RESEND_ROUNDS == self.round
+        )
 
 
 class DeltaDecoder:
