--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -117,7 +117,7 @@
     ):
         self.rates = rates
         self.costs = costs
-        self.swings = swings_module.Swings(now)
+        self.swings = swings_module.MixDuration(now)
 
     def plan(
         self, engines: list[Engine], demand: types.Demand, now: float
--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -19,7 +19,7 @@
 FACTOR = 2.0
 
 
-class Swings:
+class MixDuration:
     """Follows the ratio of prompt to output tokens.
 
     Attributes:
