--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -138,10 +138,10 @@
 
     def known(self, engines: list[Engine], now: float) -> bool:
         """Whether the mix has settled and all reports are of this mix."""
-        if not engines or now - self.swings.began < SETTLE:
+        if not engines or now - self.swings.started_at < SETTLE:
             return False
         for engine in engines:
-            if not engine.ready or engine.taken <= self.swings.began:
+            if not engine.ready or engine.taken <= self.swings.started_at:
                 return False
         return True
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -34,7 +34,7 @@
     """
 
     def __init__(self, now: float):
-        self.began = now
+        self.started_at = now
         self.stay = FIRST_STAY
         self.ratio: float | None = None
         self.seen = 0
@@ -53,12 +53,12 @@
             self.present = demand
             return
         self.before = self.present
-        lasted = now - self.began
+        lasted = now - self.started_at
         if self.seen:
             self.stay += SMOOTHING * (lasted - self.stay)
         self.seen += 1
         self.ratio = ratio
-        self.began = now
+        self.started_at = now
 
     def expected(self, now: float) -> float:
         """Seconds that the present mix will stay from now on.
@@ -66,5 +66,5 @@
         What is left of the average stay; a stay that outlasts the average
         is expected to go on for half as long as it has lasted.
         """
-        lasted = now - self.began
+        lasted = now - self.started_at
         return max(self.stay - lasted, lasted / 2)
