--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -35,7 +35,7 @@
 
     def __init__(self, now: float):
         self.started_at = now
-        self.stay = FIRST_STAY
+        self.average_seconds = FIRST_STAY
         self.ratio: float | None = None
         self.seen = 0
         self.before: types.Demand | None = None
@@ -55,7 +55,7 @@
         self.before = self.present
         lasted = now - self.started_at
         if self.seen:
-            self.stay += SMOOTHING * (lasted - self.stay)
+            self.average_seconds += SMOOTHING * (lasted - self.average_seconds)
         self.seen += 1
         self.ratio = ratio
         self.started_at = now
@@ -67,4 +67,4 @@
         is expected to go on for half as long as it has lasted.
         """
         lasted = now - self.started_at
-        return max(self.stay - lasted, lasted / 2)
+        return max(self.average_seconds - lasted, lasted / 2)
