--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -187,7 +187,7 @@
             without: While the engine is away.
             away: Seconds until all that changed have changed back.
         """
-        former = self.swings.before
+        former = self.swings.previous_demand
         if former is None:
             return 0.0
         best = self.served(old, former)
--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -38,7 +38,7 @@
         self.average_seconds = FIRST_STAY
         self.ratio: float | None = None
         self.seen = 0
-        self.before: types.Demand | None = None
+        self.previous_demand: types.Demand | None = None
         self.present: types.Demand | None = None
 
     def note(self, demand: types.Demand, now: float) -> None:
@@ -52,7 +52,7 @@
         if abs(ratio - self.ratio) < math.log(FACTOR):
             self.present = demand
             return
-        self.before = self.present
+        self.previous_demand = self.present
         lasted = now - self.started_at
         if self.seen:
             self.average_seconds += SMOOTHING * (lasted - self.average_seconds)
