--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -39,7 +39,7 @@
         self.ratio: float | None = None
         self.seen = 0
         self.previous_demand: types.Demand | None = None
-        self.present: types.Demand | None = None
+        self.current_demand: types.Demand | None = None
 
     def note(self, demand: types.Demand, now: float) -> None:
         """Takes the present demand in."""
@@ -50,9 +50,9 @@
             self.ratio = ratio
             return
         if abs(ratio - self.ratio) < math.log(FACTOR):
-            self.present = demand
+            self.current_demand = demand
             return
-        self.previous_demand = self.present
+        self.previous_demand = self.current_demand
         lasted = now - self.started_at
         if self.seen:
             self.average_seconds += SMOOTHING * (lasted - self.average_seconds)
