--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -37,7 +37,7 @@
         self.started_at = now
         self.average_seconds = FIRST_STAY
         self.ratio: float | None = None
-        self.seen = 0
+        self.shift_count = 0
         self.previous_demand: types.Demand | None = None
         self.current_demand: types.Demand | None = None
 
@@ -54,9 +54,9 @@
             return
         self.previous_demand = self.current_demand
         lasted = now - self.started_at
-        if self.seen:
+        if self.shift_count:
             self.average_seconds += SMOOTHING * (lasted - self.average_seconds)
-        self.seen += 1
+        self.shift_count += 1
         self.ratio = ratio
         self.started_at = now
 
