--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -123,7 +123,7 @@
         self, engines: list[Engine], demand: types.Demand, now: float
     ) -> Change | None:
         """The change to make now, at most one; None for none."""
-        self.swings.note(demand, now)
+        self.swings.observe(demand, now)
         if not self.known(engines, now):
             return None
         best = None
--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -41,7 +41,7 @@
         self.previous_demand: types.Demand | None = None
         self.current_demand: types.Demand | None = None
 
-    def note(self, demand: types.Demand, now: float) -> None:
+    def observe(self, demand: types.Demand, now: float) -> None:
         """Takes the present demand in."""
         if demand.prompt_tokens <= 0 or demand.output_tokens <= 0:
             return
