--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -161,7 +161,7 @@
         new = without + collections.Counter([role])
         before = self.served(old, demand)
         away = self.costs.away + self.costs.drain * bool(engine.running)
-        stay = max(0.0, self.swings.expected(now) - away)
+        stay = max(0.0, self.swings.remaining_seconds(now) - away)
         gain = (self.served(new, demand) - before) * len(engines) * stay
         lost = max(0.0, before - self.served(without, demand)) * away
         lost += self.regret(old, new, without, away * new[role])
--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -60,7 +60,7 @@
         self.ratio = ratio
         self.started_at = now
 
-    def expected(self, now: float) -> float:
+    def remaining_seconds(self, now: float) -> float:
         """Seconds that the present mix will stay from now on.
 
         What is left of the average stay; a stay that outlasts the average
