--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -11,7 +11,7 @@
 
 # Seconds that a mix is expected to stay before any swing was seen: "within
 # minutes" in the users' words, taken at its shortest.
-FIRST_STAY = 60.0
+INITIAL_SECONDS = 60.0
 # Weight of the last stay; about the last three count.
 SMOOTHING = 0.3
 # Factor by which the ratio of prompt to output tokens must move away from
@@ -35,7 +35,7 @@
 
     def __init__(self, now: float):
         self.started_at = now
-        self.average_seconds = FIRST_STAY
+        self.average_seconds = INITIAL_SECONDS
         self.ratio: float | None = None
         self.shift_count = 0
         self.previous_demand: types.Demand | None = None
