--- a/packages/gypsumfold/src/gypsumfold/decisions/swings.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/swings.py
@@ -16,7 +16,7 @@
 SMOOTHING = 0.3
 # Factor by which the ratio of prompt to output tokens must move away from
 # where the present stay began before that counts as a swing.
-FACTOR = 2.0
+SHIFT_FACTOR = 2.0
 
 
 class MixDuration:
@@ -49,7 +49,7 @@
         if self.ratio is None:
             self.ratio = ratio
             return
-        if abs(ratio - self.ratio) < math.log(FACTOR):
+        if abs(ratio - self.ratio) < math.log(SHIFT_FACTOR):
             self.current_demand = demand
             return
         self.previous_demand = self.current_demand
