--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -34,7 +34,9 @@
     """
 
     def __init__(
-        self, members: members_module.Members, roster: roster_module.Roster
+        self,
+        members: members_module.Members,
+        roster: roster_module.MemberEntries,
     ):
         self.members = members
         self.roster = roster
--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -37,7 +37,7 @@
     suspected_at: float | None = None
 
 
-class Roster:
+class MemberEntries:
     """The entries of the other nodes, as this one last read them.
 
     Attributes:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -76,7 +76,7 @@
         self.members = members
         self.mesh = mesh
         self.clock = clock
-        self.roster = roster_module.Roster()
+        self.roster = roster_module.MemberEntries()
         self.read = False
         self.entered = False
         self.delayed = False
