--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -24,7 +24,7 @@
 UNREAD = 24.0
 
 
-class Entered(NamedTuple):
+class MemberEntry(NamedTuple):
     """A node's entry in the store.
 
     Attributes:
@@ -54,7 +54,7 @@
     """
 
     def __init__(self):
-        self.entered: dict[str, Entered] = {}
+        self.entered: dict[str, MemberEntry] = {}
         self.read_at = math.inf
         self.known_at = -math.inf
         self.missed_at = -math.inf
@@ -77,17 +77,17 @@
     ) -> None:
         """Takes in an entry; a mark counts from when it was first seen."""
         if not suspected:
-            self.entered[member.node] = Entered(member)
+            self.entered[member.node] = MemberEntry(member)
             return
         before = self.entered.get(member.node)
         if before is not None and before.suspected_at is not None:
             now = before.suspected_at
-        self.entered[member.node] = Entered(member, now)
+        self.entered[member.node] = MemberEntry(member, now)
 
     def meet(self, member: members_module.Member) -> None:
         """Takes in a node that was heard: it has entered itself before."""
         if member.node not in self.entered:
-            self.entered[member.node] = Entered(member)
+            self.entered[member.node] = MemberEntry(member)
 
     def remove(self, node: str) -> None:
         """Takes in that a VM's entry is gone."""
