--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -78,7 +78,7 @@
         Args:
             count: The nodes that are heard or told of.
         """
-        others = self.members.nodes.keys() | self.roster.entered.keys()
+        others = self.members.nodes.keys() | self.roster.entries.keys()
         return max(count, 1 + len(others))
 
     def alone(self, count: int, now: float) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -54,7 +54,7 @@
     """
 
     def __init__(self):
-        self.entered: dict[str, MemberEntry] = {}
+        self.entries: dict[str, MemberEntry] = {}
         self.read_at = math.inf
         self.known_at = -math.inf
         self.missed_at = -math.inf
@@ -77,34 +77,34 @@
     ) -> None:
         """Takes in an entry; a mark counts from when it was first seen."""
         if not suspected:
-            self.entered[member.node] = MemberEntry(member)
+            self.entries[member.node] = MemberEntry(member)
             return
-        before = self.entered.get(member.node)
+        before = self.entries.get(member.node)
         if before is not None and before.suspected_at is not None:
             now = before.suspected_at
-        self.entered[member.node] = MemberEntry(member, now)
+        self.entries[member.node] = MemberEntry(member, now)
 
     def meet(self, member: members_module.Member) -> None:
         """Takes in a node that was heard: it has entered itself before."""
-        if member.node not in self.entered:
-            self.entered[member.node] = MemberEntry(member)
+        if member.node not in self.entries:
+            self.entries[member.node] = MemberEntry(member)
 
     def remove(self, node: str) -> None:
         """Takes in that a VM's entry is gone."""
-        self.entered.pop(node, None)
+        self.entries.pop(node, None)
 
     def keep(self, nodes: set[str]) -> None:
         """Takes in that only these VMs have an entry."""
-        for node in list(self.entered):
+        for node in list(self.entries):
             if node not in nodes:
-                del self.entered[node]
+                del self.entries[node]
 
     def silent(
         self, members: members_module.Members, now: float
     ) -> list[members_module.Member]:
         """The nodes whose entries are to be marked as suspected."""
         found = []
-        for entered in self.entered.values():
+        for entered in self.entries.values():
             if entered.suspected_at is not None:
                 continue
             heard = members.heard.get(entered.member.name, -math.inf)
@@ -115,7 +115,7 @@
     def suspected(self) -> list[members_module.Member]:
         """The nodes whose entries are marked."""
         found = []
-        for entered in self.entered.values():
+        for entered in self.entries.values():
             if entered.suspected_at is not None:
                 found.append(entered.member)
         return found
@@ -123,7 +123,7 @@
     def dead(self, now: float) -> list[members_module.Member]:
         """The nodes whose marked entries nobody has renewed in time."""
         found = []
-        for entered in self.entered.values():
+        for entered in self.entries.values():
             since = entered.suspected_at
             if since is not None and now - since >= RENEWED:
                 found.append(entered.member)
