--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -55,13 +55,13 @@
 
     def __init__(self):
         self.entries: dict[str, MemberEntry] = {}
-        self.read_at = math.inf
+        self.first_read_at = math.inf
         self.known_at = -math.inf
         self.missed_at = -math.inf
 
     def confirm(self, now: float) -> None:
         """Notes that the entries were read."""
-        self.read_at = min(self.read_at, now)
+        self.first_read_at = min(self.first_read_at, now)
         self.known_at = now
 
     def unread(self, now: float) -> bool:
