--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -56,17 +56,17 @@
     def __init__(self):
         self.entries: dict[str, MemberEntry] = {}
         self.first_read_at = math.inf
-        self.known_at = -math.inf
+        self.last_read_at = -math.inf
         self.missed_at = -math.inf
 
     def confirm(self, now: float) -> None:
         """Notes that the entries were read."""
         self.first_read_at = min(self.first_read_at, now)
-        self.known_at = now
+        self.last_read_at = now
 
     def unread(self, now: float) -> bool:
         """Whether this node's own entry may be gone without its knowledge."""
-        return now - self.known_at > UNREAD
+        return now - self.last_read_at > UNREAD
 
     def missed(self, now: float) -> bool:
         """Whether others may not yet know of this node's new entry."""
