--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -57,7 +57,7 @@
         self.entries: dict[str, MemberEntry] = {}
         self.first_read_at = math.inf
         self.last_read_at = -math.inf
-        self.missed_at = -math.inf
+        self.own_missing_at = -math.inf
 
     def confirm(self, now: float) -> None:
         """Notes that the entries were read."""
@@ -70,7 +70,7 @@
 
     def missed(self, now: float) -> bool:
         """Whether others may not yet know of this node's new entry."""
-        return now - self.missed_at < RENEWED
+        return now - self.own_missing_at < RENEWED
 
     def put(
         self, member: members_module.Member, suspected: bool, now: float
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -143,7 +143,7 @@
         """Takes in that an entry is gone."""
         if node == self.members.own.node:
             if self.entered:
-                self.roster.missed_at = self.clock()
+                self.roster.own_missing_at = self.clock()
             self.note_lost()
             return
         self.roster.remove(node)
