--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -59,7 +59,7 @@
         self.last_read_at = -math.inf
         self.own_missing_at = -math.inf
 
-    def confirm(self, now: float) -> None:
+    def record_read(self, now: float) -> None:
         """Notes that the entries were read."""
         self.first_read_at = min(self.first_read_at, now)
         self.last_read_at = now
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -105,7 +105,7 @@
     def update(self, records: list[store_module.Record]) -> None:
         """Takes in entries that came since."""
         now = self.clock()
-        self.roster.confirm(now)
+        self.roster.record_read(now)
         for record in records:
             if not record.value:
                 self.removed(record.key)
