--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -93,4 +93,4 @@
         """
         if self.roster.missed(now):
             return True
-        return self.roster.unread(now) and count < self.with_entries(count)
+        return self.roster.is_outdated(now) and count < self.with_entries(count)
--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -64,7 +64,7 @@
         self.first_read_at = min(self.first_read_at, now)
         self.last_read_at = now
 
-    def unread(self, now: float) -> bool:
+    def is_outdated(self, now: float) -> bool:
         """Whether this node's own entry may be gone without its knowledge."""
         return now - self.last_read_at > UNREAD
 
