--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -91,6 +91,6 @@
             count: The nodes that are heard or told of.
             now: The time.
         """
-        if self.roster.missed(now):
+        if self.roster.is_own_recently_missing(now):
             return True
         return self.roster.is_outdated(now) and count < self.with_entries(count)
--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -68,7 +68,7 @@
         """Whether this node's own entry may be gone without its knowledge."""
         return now - self.last_read_at > UNREAD
 
-    def missed(self, now: float) -> bool:
+    def is_own_recently_missing(self, now: float) -> bool:
         """Whether others may not yet know of this node's new entry."""
         return now - self.own_missing_at < RENEWED
 
