--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -84,7 +84,7 @@
             now = before.suspected_at
         self.entries[member.node] = MemberEntry(member, now)
 
-    def meet(self, member: members_module.Member) -> None:
+    def observe(self, member: members_module.Member) -> None:
         """Takes in a node that was heard: it has entered itself before."""
         if member.node not in self.entries:
             self.entries[member.node] = MemberEntry(member)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -374,7 +374,7 @@
             sender.power,
         )
         self.members.hear(member, now)
-        self.entries.roster.meet(member)
+        self.entries.roster.observe(member)
         if isinstance(message, messages.Crashes):
             self.crashes.merge_message(message)
         elif isinstance(message, messages.Report):
