--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -93,7 +93,7 @@
         """Takes in that a VM's entry is gone."""
         self.entries.pop(node, None)
 
-    def keep(self, nodes: set[str]) -> None:
+    def retain(self, nodes: set[str]) -> None:
         """Takes in that only these VMs have an entry."""
         for node in list(self.entries):
             if node not in nodes:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -97,7 +97,7 @@
         for member in self.members.silent(lately):
             if member.node not in present:
                 self.drop(member.name)
-        self.roster.keep(present)
+        self.roster.retain(present)
         if self.members.own.node not in present:
             self.removed(self.members.own.node)
         self.update(records)
