--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -99,7 +99,7 @@
             if node not in nodes:
                 del self.entries[node]
 
-    def silent(
+    def to_suspect(
         self, members: members_module.Members, now: float
     ) -> list[members_module.Member]:
         """The nodes whose entries are to be marked as suspected."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -288,7 +288,7 @@
 
     def unheard(self, site: Site) -> list[members_module.Member]:
         """The nodes that should be heard and are not."""
-        silent = self.roster.silent(self.members, self.clock())
+        silent = self.roster.to_suspect(self.members, self.clock())
         return [member for member in silent if site.hears(member)]
 
     def dead(self, site: Site) -> list[members_module.Member]:
