--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -120,7 +120,7 @@
                 found.append(entered.member)
         return found
 
-    def dead(self, now: float) -> list[members_module.Member]:
+    def expired(self, now: float) -> list[members_module.Member]:
         """The nodes whose marked entries nobody has renewed in time."""
         found = []
         for entered in self.entries.values():
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -293,7 +293,7 @@
 
     def dead(self, site: Site) -> list[members_module.Member]:
         """The nodes whose entries are to go, as far as is known."""
-        dead = self.roster.dead(self.clock())
+        dead = self.roster.expired(self.clock())
         return [member for member in dead if site.hears(member)]
 
     async def remove(self, site: Site) -> None:
