--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -15,7 +15,7 @@
 
 # Seconds of silence after which the entry of a node is suspected: five times
 # as long as a VM takes to start again.
-SUSPECTED = 10.0
+SUSPECT_AFTER_SECONDS = 10.0
 # Seconds within which a living node has renewed its suspected entry: nodes
 # read all entries every 23 s.
 RENEWED = 25.0
@@ -108,7 +108,7 @@
             if entered.suspected_at is not None:
                 continue
             heard = members.heard.get(entered.member.name, -math.inf)
-            if now - heard >= SUSPECTED:
+            if now - heard >= SUSPECT_AFTER_SECONDS:
                 found.append(entered.member)
         return found
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -252,7 +252,7 @@
         if stood_still or not site.removes():
             self.listening_since = now
             return
-        if now - self.listening_since >= roster_module.SUSPECTED:
+        if now - self.listening_since >= roster_module.SUSPECT_AFTER_SECONDS:
             await self.suspect(site)
         await self.remove(site)
 
