--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -18,7 +18,7 @@
 SUSPECT_AFTER_SECONDS = 10.0
 # Seconds within which a living node has renewed its suspected entry: nodes
 # read all entries every 23 s.
-RENEWED = 25.0
+RENEWAL_SECONDS = 25.0
 # Seconds without a reading of the entries after which this node may itself
 # have been removed: just above the time between two readings.
 UNREAD = 24.0
@@ -70,7 +70,7 @@
 
     def is_own_recently_missing(self, now: float) -> bool:
         """Whether others may not yet know of this node's new entry."""
-        return now - self.own_missing_at < RENEWED
+        return now - self.own_missing_at < RENEWAL_SECONDS
 
     def put(
         self, member: members_module.Member, suspected: bool, now: float
@@ -125,6 +125,6 @@
         found = []
         for entered in self.entries.values():
             since = entered.suspected_at
-            if since is not None and now - since >= RENEWED:
+            if since is not None and now - since >= RENEWAL_SECONDS:
                 found.append(entered.member)
         return found
