--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -21,7 +21,7 @@
 RENEWAL_SECONDS = 25.0
 # Seconds without a reading of the entries after which this node may itself
 # have been removed: just above the time between two readings.
-UNREAD = 24.0
+MAX_READ_AGE_SECONDS = 24.0
 
 
 class MemberEntry(NamedTuple):
@@ -66,7 +66,7 @@
 
     def is_outdated(self, now: float) -> bool:
         """Whether this node's own entry may be gone without its knowledge."""
-        return now - self.last_read_at > UNREAD
+        return now - self.last_read_at > MAX_READ_AGE_SECONDS
 
     def is_own_recently_missing(self, now: float) -> bool:
         """Whether others may not yet know of this node's new entry."""
