--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -19,7 +19,7 @@
 STARTING = 2.0
 
 
-class Census:
+class NodeCount:
     """Counts the nodes of the site, this one included.
 
     Attributes:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -120,7 +120,7 @@
         )
         self.entries.many = self.leave_mesh
         self.entries.drop = self.drop
-        self.census = census_module.Census(self.members, self.entries.roster)
+        self.census = census_module.NodeCount(self.members, self.entries.roster)
         self.summaries = summaries_module.Summaries(
             self.relaying,
             self.loads,
