--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -45,7 +45,7 @@
         self.noted = 1
         self.noted_at = -math.inf
 
-    def heard(self, now: float) -> int:
+    def count_recent(self, now: float) -> int:
         """Counts the nodes that were heard of lately by this one."""
         start = now - LATELY
         count = 1
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -529,7 +529,7 @@
         """Counts the nodes that were heard of lately, this one included."""
         now = self.clock()
         if self.meshed:
-            return self.census.heard(now)
+            return self.census.count_recent(now)
         if self.choice.relay is None:
             self.census.note(self.relaying.nodes(), now)
         return self.census.noted
