--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -54,7 +54,7 @@
                 count += 1
         return count
 
-    def tell(self, nodes: int, apart: bool, now: float) -> None:
+    def receive(self, nodes: int, apart: bool, now: float) -> None:
         """Notes how many nodes there are by this node's relay."""
         self.told = True
         self.apart = apart
