--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -54,10 +54,10 @@
                 count += 1
         return count
 
-    def receive(self, nodes: int, apart: bool, now: float) -> None:
+    def receive(self, nodes: int, partitioned: bool, now: float) -> None:
         """Notes how many nodes there are by this node's relay."""
         self.told = True
-        self.apart = apart
+        self.apart = partitioned
         self.note(nodes, now)
 
     def note(self, nodes: int, now: float) -> None:
