--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -58,9 +58,9 @@
         """Notes how many nodes there are by this node's relay."""
         self.told = True
         self.apart = partitioned
-        self.note(nodes, now)
+        self.record(nodes, now)
 
-    def note(self, nodes: int, now: float) -> None:
+    def record(self, nodes: int, now: float) -> None:
         """Notes how many nodes there are; the most of the last seconds counts.
 
         Relays that have just taken over have not heard of all.
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -531,7 +531,7 @@
         if self.meshed:
             return self.census.count_recent(now)
         if self.choice.relay is None:
-            self.census.note(self.relaying.nodes(), now)
+            self.census.record(self.relaying.nodes(), now)
         return self.census.noted
 
     def site_nodes(self) -> int:
