--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -42,7 +42,7 @@
         self.roster = roster
         self.told = False
         self.apart = False
-        self.noted = 1
+        self.highest = 1
         self.noted_at = -math.inf
 
     def count_recent(self, now: float) -> int:
@@ -65,8 +65,8 @@
 
         Relays that have just taken over have not heard of all.
         """
-        if nodes >= self.noted or now - self.noted_at > LATELY:
-            self.noted = nodes
+        if nodes >= self.highest or now - self.noted_at > LATELY:
+            self.highest = nodes
             self.noted_at = now
 
     def with_entries(self, count: int) -> int:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -532,12 +532,12 @@
             return self.census.count_recent(now)
         if self.choice.relay is None:
             self.census.record(self.relaying.nodes(), now)
-        return self.census.noted
+        return self.census.highest
 
     def site_nodes(self) -> int:
         """Counts the site's nodes as those are told that follow this one."""
         if self.follows():
-            return self.census.noted
+            return self.census.highest
         return self.census.with_entries(self.nodes())
 
     def sharing(self) -> int:
