--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -43,7 +43,7 @@
         self.told = False
         self.apart = False
         self.highest = 1
-        self.noted_at = -math.inf
+        self.highest_at = -math.inf
 
     def count_recent(self, now: float) -> int:
         """Counts the nodes that were heard of lately by this one."""
@@ -65,9 +65,9 @@
 
         Relays that have just taken over have not heard of all.
         """
-        if nodes >= self.highest or now - self.noted_at > LATELY:
+        if nodes >= self.highest or now - self.highest_at > LATELY:
             self.highest = nodes
-            self.noted_at = now
+            self.highest_at = now
 
     def with_entries(self, count: int) -> int:
         """Counts the nodes that are heard or have an entry in the store.
