--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -40,7 +40,7 @@
     ):
         self.members = members
         self.roster = roster
-        self.told = False
+        self.received = False
         self.apart = False
         self.highest = 1
         self.highest_at = -math.inf
@@ -56,7 +56,7 @@
 
     def receive(self, nodes: int, partitioned: bool, now: float) -> None:
         """Notes how many nodes there are by this node's relay."""
-        self.told = True
+        self.received = True
         self.apart = partitioned
         self.record(nodes, now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -545,7 +545,7 @@
         known_for = self.clock() - self.entries.roster.first_read_at
         if known_for < census_module.STARTING:
             return 0
-        if self.follows() and not self.census.told:
+        if self.follows() and not self.census.received:
             return 0
         return self.site_nodes()
 
