--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -41,7 +41,7 @@
         self.members = members
         self.roster = roster
         self.received = False
-        self.apart = False
+        self.partitioned = False
         self.highest = 1
         self.highest_at = -math.inf
 
@@ -57,7 +57,7 @@
     def receive(self, nodes: int, partitioned: bool, now: float) -> None:
         """Notes how many nodes there are by this node's relay."""
         self.received = True
-        self.apart = partitioned
+        self.partitioned = partitioned
         self.record(nodes, now)
 
     def record(self, nodes: int, now: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -552,7 +552,7 @@
     def apart(self) -> bool:
         """Whether the others may share what the site has without this node."""
         if self.follows():
-            return self.census.apart
+            return self.census.partitioned
         return self.census.alone(self.nodes(), self.clock())
 
     def relays_for_others(self) -> bool:
