--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -81,7 +81,7 @@
         others = self.members.nodes.keys() | self.roster.entries.keys()
         return max(count, 1 + len(others))
 
-    def alone(self, count: int, now: float) -> bool:
+    def is_partitioned(self, count: int, now: float) -> bool:
         """Whether the others may count without this node by now.
 
         Its entry was gone a moment ago; or it has not read the entries for so
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -553,7 +553,7 @@
         """Whether the others may share what the site has without this node."""
         if self.follows():
             return self.census.partitioned
-        return self.census.alone(self.nodes(), self.clock())
+        return self.census.is_partitioned(self.nodes(), self.clock())
 
     def relays_for_others(self) -> bool:
         """Whether this node passes on what other nodes send."""
