--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -39,7 +39,7 @@
         roster: roster_module.MemberEntries,
     ):
         self.members = members
-        self.roster = roster
+        self.member_entries = roster
         self.received = False
         self.partitioned = False
         self.highest = 1
@@ -78,7 +78,7 @@
         Args:
             count: The nodes that are heard or told of.
         """
-        others = self.members.nodes.keys() | self.roster.entries.keys()
+        others = self.members.nodes.keys() | self.member_entries.entries.keys()
         return max(count, 1 + len(others))
 
     def is_partitioned(self, count: int, now: float) -> bool:
@@ -91,6 +91,8 @@
             count: The nodes that are heard or told of.
             now: The time.
         """
-        if self.roster.is_own_recently_missing(now):
+        if self.member_entries.is_own_recently_missing(now):
             return True
-        return self.roster.is_outdated(now) and count < self.with_entries(count)
+        return self.member_entries.is_outdated(
+            now
+        ) and count < self.with_entries(count)
