--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -36,10 +36,10 @@
     def __init__(
         self,
         members: members_module.Members,
-        roster: roster_module.MemberEntries,
+        member_entries: roster_module.MemberEntries,
     ):
         self.members = members
-        self.member_entries = roster
+        self.member_entries = member_entries
         self.received = False
         self.partitioned = False
         self.highest = 1
