--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -12,7 +12,7 @@
 
 # Seconds of silence after which a node does not count as heard; also for how
 # long the largest number that was told counts.
-LATELY = 15.0
+RECENT_SECONDS = 15.0
 # Seconds after the first reading of all entries until it is known how many
 # nodes there are: all may start at the same time, and each knows those that
 # were entered after its reading once it has heard them.
@@ -47,7 +47,7 @@
 
     def count_recent(self, now: float) -> int:
         """Counts the nodes that were heard of lately by this one."""
-        start = now - LATELY
+        start = now - RECENT_SECONDS
         count = 1
         for name in self.members.known:
             if self.members.heard.get(name, -math.inf) > start:
@@ -65,7 +65,7 @@
 
         Relays that have just taken over have not heard of all.
         """
-        if nodes >= self.highest or now - self.highest_at > LATELY:
+        if nodes >= self.highest or now - self.highest_at > RECENT_SECONDS:
             self.highest = nodes
             self.highest_at = now
 
