--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -16,7 +16,7 @@
 # Seconds after the first reading of all entries until it is known how many
 # nodes there are: all may start at the same time, and each knows those that
 # were entered after its reading once it has heard them.
-STARTING = 2.0
+STARTUP_SECONDS = 2.0
 
 
 class NodeCount:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -543,7 +543,7 @@
     def sharing(self) -> int:
         """Counts the nodes that share what the site has once; 0 if unknown."""
         known_for = self.clock() - self.entries.roster.first_read_at
-        if known_for < census_module.STARTING:
+        if known_for < census_module.STARTUP_SECONDS:
             return 0
         if self.follows() and not self.census.received:
             return 0
