--- a/packages/gypsumfold/src/gypsumfold/decisions/births.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/births.py
@@ -13,7 +13,7 @@
 MOST = 4096
 
 
-class Births:
+class Incarnations:
     """The newest start of each replica that says when it was.
 
     >>> births = Births()
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -71,7 +71,7 @@
         self.generating: dict[str, float] = {}
         self.health = health.Health(rng)
         self.gone = []
-        self.births = births_module.Births()
+        self.births = births_module.Incarnations()
 
     def put(self, replica: types.Replica) -> None:
         """Takes a registration in; a late one of an earlier start is none."""
