--- a/packages/gypsumfold/src/gypsumfold/decisions/births.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/births.py
@@ -26,7 +26,7 @@
             collections.OrderedDict()
         )
 
-    def newest(self, replica: str, born: int) -> bool:
+    def observe(self, replica: str, born: int) -> bool:
         """Takes a start in; says whether none later is known.
 
         Args:
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -163,7 +163,9 @@
                 reason=repr(error),
             )
             return
-        if not self.directory.births.newest(replica.instance, found.started_at):
+        if not self.directory.births.observe(
+            replica.instance, found.started_at
+        ):
             return
         self.homes.memory = service.cache_tokens
         self.homes.caches.add_parts(
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -75,7 +75,7 @@
 
     def put(self, replica: types.Replica) -> None:
         """Takes a registration in; a late one of an earlier start is none."""
-        if not self.births.newest(replica.instance, replica.started_at):
+        if not self.births.observe(replica.instance, replica.started_at):
             return
         old = self.replicas.get(replica.instance)
         if old is not None and births_module.later(
@@ -109,7 +109,7 @@
         Returns:
             Whether what it says beside is of its newest start.
         """
-        if not self.births.newest(instance, state.started_at):
+        if not self.births.observe(instance, state.started_at):
             return False
         replica = self.replicas.get(instance)
         if replica is None or not births_module.later(
