--- a/packages/gypsumfold/src/gypsumfold/decisions/births.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/births.py
@@ -26,7 +26,7 @@
             collections.OrderedDict()
         )
 
-    def observe(self, replica: str, born: int) -> bool:
+    def observe(self, replica: str, started_at: int) -> bool:
         """Takes a start in; says whether none later is known.
 
         Args:
@@ -34,11 +34,11 @@
             born: Unix milliseconds; 0 if it does not say.
         """
         known = self.starts.get(replica, 0)
-        if born <= 0:
+        if started_at <= 0:
             return True
-        if born < known:
+        if started_at < known:
             return False
-        self.starts[replica] = born
+        self.starts[replica] = started_at
         self.starts.move_to_end(replica)
         if len(self.starts) > MOST:
             self.starts.popitem(last=False)
