--- a/packages/gypsumfold/src/gypsumfold/decisions/births.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/births.py
@@ -44,7 +44,7 @@
             self.starts.popitem(last=False)
         return True
 
-    def of(self, replicas: list[str]) -> dict[str, int]:
+    def known_starts(self, replicas: list[str]) -> dict[str, int]:
         """The known starts of some replicas."""
         found = {}
         for replica in replicas:
