--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -97,9 +97,11 @@
     def learn(self, caches: questions_module.CacheLinks) -> None:
         """Takes in what the relay believes that one engine keeps."""
         replica = self.directory.replicas.get(caches.engine)
-        if replica is None or births.later(caches.born, replica.started_at):
+        if replica is None or births.is_later_start(
+            caches.born, replica.started_at
+        ):
             return
-        if births.later(replica.started_at, caches.born):
+        if births.is_later_start(replica.started_at, caches.born):
             return
         service = self.service(replica)
         if service is None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -78,7 +78,7 @@
         if not self.births.observe(replica.instance, replica.started_at):
             return
         old = self.replicas.get(replica.instance)
-        if old is not None and births_module.later(
+        if old is not None and births_module.is_later_start(
             replica.started_at, old.started_at
         ):
             self.restarted(old, replica.started_at)
@@ -112,7 +112,7 @@
         if not self.births.observe(instance, state.started_at):
             return False
         replica = self.replicas.get(instance)
-        if replica is None or not births_module.later(
+        if replica is None or not births_module.is_later_start(
             state.started_at, replica.started_at
         ):
             return True
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -272,7 +272,7 @@
                     reason=repr(error),
                 )
                 continue
-            if births.later(state.started_at, replica.started_at):
+            if births.is_later_start(state.started_at, replica.started_at):
                 # It has started again and knows of no order.
                 self.directory.said(replica.instance, state)
                 return
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -253,7 +253,7 @@
         if handle is None:
             return
         replica = self.directory.replicas.get(handle.engine)
-        if replica is None or not births.later(
+        if replica is None or not births.is_later_start(
             replica.started_at, handle.started_at
         ):
             return
