--- a/packages/gypsumfold/src/gypsumfold/decisions/births.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/births.py
@@ -53,6 +53,6 @@
         return found
 
 
-def is_later_start(born: int, known: int) -> bool:
+def is_later_start(started_at: int, known: int) -> bool:
     """Whether a start is surely later than the one that is known."""
-    return 0 < known < born
+    return 0 < known < started_at
