--- a/packages/gypsumfold/src/gypsumfold/decisions/births.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/births.py
@@ -10,7 +10,7 @@
 
 # Instances whose start is remembered after they are gone; a late word comes
 # within seconds, in which no fleet replaces as many.
-MOST = 4096
+MAX_INSTANCES = 4096
 
 
 class Incarnations:
@@ -40,7 +40,7 @@
             return False
         self.starts[replica] = started_at
         self.starts.move_to_end(replica)
-        if len(self.starts) > MOST:
+        if len(self.starts) > MAX_INSTANCES:
             self.starts.popitem(last=False)
         return True
 
