--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -50,7 +50,7 @@
         start = now - RECENT_SECONDS
         count = 1
         for name in self.members.known:
-            if self.members.heard.get(name, -math.inf) > start:
+            if self.members.last_seen.get(name, -math.inf) > start:
                 count += 1
         return count
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/members.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/members.py
@@ -49,7 +49,7 @@
         self.own = own
         self.known: dict[str, Member] = {}
         self.nodes: dict[str, str] = {}
-        self.heard: dict[str, float] = {}
+        self.last_seen: dict[str, float] = {}
         self.orders: dict[str, list[Member]] = {}
 
     def add(self, member: Member, now: float) -> bool:
@@ -67,7 +67,7 @@
         if before is not None and before > member.name:
             return False
         self.replace(member)
-        self.heard.setdefault(member.name, now)
+        self.last_seen.setdefault(member.name, now)
         return True
 
     def hear(self, member: Member, now: float) -> None:
@@ -76,7 +76,7 @@
             return
         if self.known.get(member.name) != member:
             self.replace(member)
-        self.heard[member.name] = now
+        self.last_seen[member.name] = now
 
     def replace(self, member: Member) -> None:
         """Puts one start of a VM in the place of another."""
@@ -92,7 +92,7 @@
         member = self.known.pop(name, None)
         if member is None:
             return
-        self.heard.pop(name, None)
+        self.last_seen.pop(name, None)
         if self.nodes.get(member.node) == name:
             del self.nodes[member.node]
         self.orders.clear()
@@ -101,7 +101,7 @@
         """The nodes that were not heard after a moment."""
         found = []
         for name, member in self.known.items():
-            if self.heard.get(name, -math.inf) < since:
+            if self.last_seen.get(name, -math.inf) < since:
                 found.append(member)
         return found
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/roster.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roster.py
@@ -107,7 +107,7 @@
         for entered in self.entries.values():
             if entered.suspected_at is not None:
                 continue
-            heard = members.heard.get(entered.member.name, -math.inf)
+            heard = members.last_seen.get(entered.member.name, -math.inf)
             if now - heard >= SUSPECT_AFTER_SECONDS:
                 found.append(entered.member)
         return found
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -266,7 +266,7 @@
         for entered in self.roster.suspected():
             name = self.members.nodes.get(entered.node, "")
             member = self.members.known.get(name)
-            if member is None or self.members.heard[name] < lately:
+            if member is None or self.members.last_seen[name] < lately:
                 continue
             if not site.vouches(member) or not await self.write(member, False):
                 continue
