--- a/packages/gypsumfold/src/gypsumfold/decisions/members.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/members.py
@@ -70,7 +70,7 @@
         self.last_seen.setdefault(member.name, now)
         return True
 
-    def hear(self, member: Member, now: float) -> None:
+    def observe(self, member: Member, now: float) -> None:
         """Takes in that a node itself was heard: surely it runs."""
         if member.name == self.own.name:
             return
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -373,7 +373,7 @@
             address[:2],
             sender.power,
         )
-        self.members.hear(member, now)
+        self.members.observe(member, now)
         self.entries.roster.observe(member)
         if isinstance(message, messages.Crashes):
             self.crashes.merge_message(message)
