--- a/packages/gypsumfold/src/gypsumfold/decisions/members.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/members.py
@@ -50,7 +50,7 @@
         self.known: dict[str, Member] = {}
         self.nodes: dict[str, str] = {}
         self.last_seen: dict[str, float] = {}
-        self.orders: dict[str, list[Member]] = {}
+        self.rankings: dict[str, list[Member]] = {}
 
     def add(self, member: Member, now: float) -> bool:
         """Takes in what somebody says of a node.
@@ -85,7 +85,7 @@
             self.remove(before)
         self.known[member.name] = member
         self.nodes[member.node] = member.name
-        self.orders.clear()
+        self.rankings.clear()
 
     def remove(self, name: str) -> None:
         """Drops a node that has left or is gone."""
@@ -95,7 +95,7 @@
         self.last_seen.pop(name, None)
         if self.nodes.get(member.node) == name:
             del self.nodes[member.node]
-        self.orders.clear()
+        self.rankings.clear()
 
     def silent(self, since: float) -> list[Member]:
         """The nodes that were not heard after a moment."""
@@ -107,14 +107,14 @@
 
     def ranked(self, data_centre: str) -> list[Member]:
         """The nodes of a data centre, this one included, best first."""
-        found = self.orders.get(data_centre)
+        found = self.rankings.get(data_centre)
         if found is None:
             found = []
             for member in [self.own, *self.known.values()]:
                 if member.data_centre == data_centre:
                     found.append(member)
             found.sort(key=score, reverse=True)
-            self.orders[data_centre] = found
+            self.rankings[data_centre] = found
         return found
 
     def data_centres(self) -> set[str]:
