--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -78,7 +78,10 @@
         Args:
             count: The nodes that are heard or told of.
         """
-        others = self.members.nodes.keys() | self.member_entries.entries.keys()
+        others = (
+            self.members.names_by_node.keys()
+            | self.member_entries.entries.keys()
+        )
         return max(count, 1 + len(others))
 
     def is_partitioned(self, count: int, now: float) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/decisions/members.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/members.py
@@ -48,7 +48,7 @@
     def __init__(self, own: Member):
         self.own = own
         self.known: dict[str, Member] = {}
-        self.nodes: dict[str, str] = {}
+        self.names_by_node: dict[str, str] = {}
         self.last_seen: dict[str, float] = {}
         self.rankings: dict[str, list[Member]] = {}
 
@@ -63,7 +63,7 @@
         """
         if member.name == self.own.name or member.name in self.known:
             return False
-        before = self.nodes.get(member.node)
+        before = self.names_by_node.get(member.node)
         if before is not None and before > member.name:
             return False
         self.replace(member)
@@ -80,11 +80,11 @@
 
     def replace(self, member: Member) -> None:
         """Puts one start of a VM in the place of another."""
-        before = self.nodes.get(member.node)
+        before = self.names_by_node.get(member.node)
         if before is not None:
             self.remove(before)
         self.known[member.name] = member
-        self.nodes[member.node] = member.name
+        self.names_by_node[member.node] = member.name
         self.rankings.clear()
 
     def remove(self, name: str) -> None:
@@ -93,8 +93,8 @@
         if member is None:
             return
         self.last_seen.pop(name, None)
-        if self.nodes.get(member.node) == name:
-            del self.nodes[member.node]
+        if self.names_by_node.get(member.node) == name:
+            del self.names_by_node[member.node]
         self.rankings.clear()
 
     def silent(self, since: float) -> list[Member]:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -147,7 +147,7 @@
             self.note_lost()
             return
         self.roster.remove(node)
-        self.drop(self.members.nodes.get(node, ""))
+        self.drop(self.members.names_by_node.get(node, ""))
 
     def note_lost(self) -> None:
         """Notes that this node's entry is not as it has to be."""
@@ -264,7 +264,7 @@
             events.log(events.ENTRY_RENEWED, peer=self.members.own.node)
         lately = self.clock() - LATELY
         for entered in self.roster.suspected():
-            name = self.members.nodes.get(entered.node, "")
+            name = self.members.names_by_node.get(entered.node, "")
             member = self.members.known.get(name)
             if member is None or self.members.last_seen[name] < lately:
                 continue
