--- a/packages/gypsumfold/src/gypsumfold/decisions/members.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/members.py
@@ -97,7 +97,7 @@
             del self.names_by_node[member.node]
         self.rankings.clear()
 
-    def silent(self, since: float) -> list[Member]:
+    def not_seen_since(self, since: float) -> list[Member]:
         """The nodes that were not heard after a moment."""
         found = []
         for name, member in self.known.items():
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -94,7 +94,7 @@
         self.read = True
         present = {record.key for record in records if record.value}
         lately = self.clock() - LATELY
-        for member in self.members.silent(lately):
+        for member in self.members.not_seen_since(lately):
             if member.node not in present:
                 self.drop(member.name)
         self.roster.retain(present)
@@ -246,7 +246,7 @@
         now = self.clock()
         stood_still = now - self.looked_at > STOOD_STILL
         self.looked_at = now
-        for member in self.members.silent(now - DEAD):
+        for member in self.members.not_seen_since(now - DEAD):
             if site.hears(member):
                 self.drop(member.name)
         if stood_still or not site.removes():
