--- a/packages/gypsumfold/src/gypsumfold/decisions/members.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/members.py
@@ -14,7 +14,7 @@
 import xxhash
 
 # Distinct values of a 64-bit hash.
-HASHES = 2.0**64
+HASH_COUNT = 2.0**64
 
 
 class Member(NamedTuple):
@@ -133,5 +133,5 @@
     again takes its old place and moves nobody else.
     """
     digest = xxhash.xxh3_64_intdigest(member.node.encode())
-    even = (digest + 1) / (HASHES + 1)
+    even = (digest + 1) / (HASH_COUNT + 1)
     return -max(member.power, 1e-3) / math.log(even), member.name
