--- a/packages/gypsumfold/src/gypsumfold/decisions/sums.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/sums.py
@@ -30,11 +30,11 @@
     def __init__(self):
         self.sent: dict[str, int] = {}
         self.resend: set[str] = set()
-        self.round = 0
+        self.round_number = 0
 
     def encode(self, amounts: dict[str, float]) -> dict[str, int]:
         """What is new in the last two times, and a part of the rest."""
-        self.round = (self.round + 1) % RESEND_ROUNDS
+        self.round_number = (self.round_number + 1) % RESEND_ROUNDS
         rounded = {}
         for key, amount in amounts.items():
             value = round(amount * SCALE)
@@ -57,7 +57,8 @@
     def is_due(self, key: str) -> bool:
         """Whether it is an amount's turn to be told again."""
         return (
-            xxhash.xxh3_64_intdigest(key.encode()) % RESEND_ROUNDS == self.round
+            xxhash.xxh3_64_intdigest(key.encode()) % RESEND_ROUNDS
+            == self.round_number
         )
 
 
