--- a/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
@@ -11,7 +11,7 @@
 CRASHES_SHARE = 0.1
 SUMMARIES_SHARE = 0.4
 # Seconds of its rate that a bucket holds.
-BURST = 0.2
+BURST_SECONDS = 0.2
 # Bits of a byte, and of a megabit.
 BYTE = 8
 MEGABIT = 1e6
@@ -28,7 +28,7 @@
 
     def __init__(self, link_mbps: float, share: float):
         self.rate = link_mbps * MEGABIT / BYTE * share
-        self.tokens = self.rate * BURST
+        self.tokens = self.rate * BURST_SECONDS
         self.filled_at: float | None = None
 
     def left(self, now: float) -> float:
@@ -36,7 +36,7 @@
         if self.filled_at is not None:
             self.tokens += (now - self.filled_at) * self.rate
         self.filled_at = now
-        self.tokens = min(self.tokens, self.rate * BURST)
+        self.tokens = min(self.tokens, self.rate * BURST_SECONDS)
         return self.tokens
 
     def spend(self, size: int, now: float) -> None:
