--- a/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
@@ -14,7 +14,7 @@
 BURST_SECONDS = 0.2
 # Bits of a byte, and of a megabit.
 BITS_PER_BYTE = 8
-MEGABIT = 1e6
+BITS_PER_MEGABIT = 1e6
 
 
 class Bandwidth:
@@ -27,7 +27,7 @@
     """
 
     def __init__(self, link_mbps: float, share: float):
-        self.rate = link_mbps * MEGABIT / BITS_PER_BYTE * share
+        self.rate = link_mbps * BITS_PER_MEGABIT / BITS_PER_BYTE * share
         self.tokens = self.rate * BURST_SECONDS
         self.filled_at: float | None = None
 
