--- a/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
@@ -31,7 +31,7 @@
         self.tokens = self.rate * BURST_SECONDS
         self.filled_at: float | None = None
 
-    def left(self, now: float) -> float:
+    def available(self, now: float) -> float:
         """Bytes that may be sent now; below zero while there is a debt."""
         if self.filled_at is not None:
             self.tokens += (now - self.filled_at) * self.rate
@@ -41,5 +41,5 @@
 
     def spend(self, size: int, now: float) -> None:
         """Takes bytes out that were sent; what must be sent makes a debt."""
-        self.left(now)
+        self.available(now)
         self.tokens -= size
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -81,7 +81,7 @@
         receivers = self.receivers()
         if not receivers:
             return False
-        left = self.bandwidth.left(now) / (ENTRY_BYTES * len(receivers))
+        left = self.bandwidth.available(now) / (ENTRY_BYTES * len(receivers))
         most = min(int(left), MOST_ENTRIES * MOST_DATAGRAMS)
         if most < 1:
             return True
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -141,5 +141,5 @@
 
     def most_placed(self, receivers: int, now: float) -> int:
         """How many prompts the link bears in a summary to some nodes."""
-        left = self.bandwidth.left(now)
+        left = self.bandwidth.available(now)
         return max(0, int(left / (PLACED_BYTES * receivers)))
