--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -278,7 +278,7 @@
 )
 def step_spare(context, left):
     context.budget = budgets.RetryBudget(
-        budgets.Policy(0.0, 10.0, left / budgets.USED)
+        budgets.Policy(0.0, 10.0, left / budgets.USED_FRACTION)
     )
     context.budget.nodes = 1
     records = [entry(1500, stage="prefill")]
--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -28,7 +28,7 @@
 
 # The share of the budget that nodes use; the rest covers requests that are
 # counted in another window than their repeats.
-USED = 0.85
+USED_FRACTION = 0.85
 # Spare repeats of a node in a window until it is known how many nodes share
 # them; sites have more for each node.
 UNKNOWN_SPARE = 2.0
@@ -76,7 +76,7 @@
 
     def spare(self) -> float:
         """Spare repeats that this node may use in a window."""
-        whole = USED * self.policy.slack
+        whole = USED_FRACTION * self.policy.slack
         if not self.nodes:
             return min(UNKNOWN_SPARE, whole)
         if self.apart:
@@ -94,7 +94,7 @@
         requests = trimmed(self.requests.get(service), start)
         repeats = self.repeats.setdefault(service, collections.deque())
         trimmed(repeats, start)
-        most = USED * self.policy.share * requests + self.spare()
+        most = USED_FRACTION * self.policy.share * requests + self.spare()
         enough = 1.0
         if self.nodes and now - self.started < self.policy.window:
             most *= RESERVED
