--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -31,7 +31,7 @@
 USED_FRACTION = 0.85
 # Spare repeats of a node in a window until it is known how many nodes share
 # them; sites have more for each node.
-UNKNOWN_SPARE = 2.0
+SPARE_IF_NODES_UNKNOWN = 2.0
 # The part of its share that a node uses while others may use the rest: in the
 # first window after a start, as it may have used the whole share just before,
 # and while the others may count without it. All nodes together then stay within
@@ -78,7 +78,7 @@
         """Spare repeats that this node may use in a window."""
         whole = USED_FRACTION * self.policy.slack
         if not self.nodes:
-            return min(UNKNOWN_SPARE, whole)
+            return min(SPARE_IF_NODES_UNKNOWN, whole)
         if self.apart:
             whole *= RESERVED
         return whole / self.nodes
