--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -36,7 +36,7 @@
 # first window after a start, as it may have used the whole share just before,
 # and while the others may count without it. All nodes together then stay within
 # what USED leaves.
-RESERVED = 0.15
+RESTRICTED_FRACTION = 0.15
 
 
 class RetryBudget:
@@ -80,7 +80,7 @@
         if not self.nodes:
             return min(SPARE_IF_NODES_UNKNOWN, whole)
         if self.apart:
-            whole *= RESERVED
+            whole *= RESTRICTED_FRACTION
         return whole / self.nodes
 
     def allow(self, service: str, now: float) -> bool:
@@ -97,7 +97,7 @@
         most = USED_FRACTION * self.policy.share * requests + self.spare()
         enough = 1.0
         if self.nodes and now - self.started < self.policy.window:
-            most *= RESERVED
+            most *= RESTRICTED_FRACTION
             enough = self.chance
         if len(repeats) + enough > most:
             return False
