--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -64,7 +64,7 @@
         self.policy = policy
         self.chance = chance
         self.started = -math.inf
-        self.apart = False
+        self.partitioned = False
         self.nodes = 0
         self.requests: dict[str, collections.deque[float]] = {}
         self.repeats: dict[str, collections.deque[float]] = {}
@@ -79,7 +79,7 @@
         whole = USED_FRACTION * self.policy.slack
         if not self.nodes:
             return min(SPARE_IF_NODES_UNKNOWN, whole)
-        if self.apart:
+        if self.partitioned:
             whole *= RESTRICTED_FRACTION
         return whole / self.nodes
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -354,7 +354,7 @@
         """Shares the budget of repeats by the nodes that are known."""
         nodes = self.gossip.sharing()
         apart = self.gossip.apart()
-        if (nodes, apart) == (self.budget.nodes, self.budget.apart):
+        if (nodes, apart) == (self.budget.nodes, self.budget.partitioned):
             return
         events.log(
             events.RETRIES_SHARED,
@@ -363,7 +363,7 @@
             apart=apart,
         )
         self.budget.nodes = nodes
-        self.budget.apart = apart
+        self.budget.partitioned = apart
 
     def count_known(self) -> None:
         """Sets the gauges of what this node knows, and by whom."""
