--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -292,7 +292,7 @@
     """The budget of a node that has just started again."""
     budget = budgets.RetryBudget(context.policy)
     budget.nodes = 6
-    budget.started = now
+    budget.started_at = now
     return budget
 
 
@@ -307,7 +307,7 @@
     for _ in range(nodes):
         budget = budgets.RetryBudget(context.policy, rng.random())
         budget.nodes = nodes
-        budget.started = 0.0
+        budget.started_at = 0.0
         context.budgets.append(budget)
 
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -63,7 +63,7 @@
     def __init__(self, policy: Policy, chance: float = 1.0):
         self.policy = policy
         self.chance = chance
-        self.started = -math.inf
+        self.started_at = -math.inf
         self.partitioned = False
         self.nodes = 0
         self.requests: dict[str, collections.deque[float]] = {}
@@ -96,7 +96,7 @@
         trimmed(repeats, start)
         most = USED_FRACTION * self.policy.share * requests + self.spare()
         enough = 1.0
-        if self.nodes and now - self.started < self.policy.window:
+        if self.nodes and now - self.started_at < self.policy.window:
             most *= RESTRICTED_FRACTION
             enough = self.chance
         if len(repeats) + enough > most:
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -100,7 +100,7 @@
         self.endpoints = replicas.Replicas(self.pool)
         self.budget = budgets.RetryBudget(budget_policy(settings), rng.random())
         if not settings.node.first_start:
-            self.budget.started = time.monotonic()
+            self.budget.started_at = time.monotonic()
         self.homes = homes_module.Homes()
         self.counters = counters_module.Counters()
         self.generations = generations.Generations(
