--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -280,7 +280,7 @@
         if context.budgets and now >= restart > now - 1 / rate:
             context.budgets = [restarted(context, now) for _ in range(6)]
         budget = context.budgets[number % 6]
-        budget.requested("seats", now)
+        budget.record_request("seats", now)
         if now < first:
             continue
         for _ in range(3):
--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -69,7 +69,7 @@
         self.requests: dict[str, collections.deque[float]] = {}
         self.repeats: dict[str, collections.deque[float]] = {}
 
-    def requested(self, service: str, now: float) -> None:
+    def record_request(self, service: str, now: float) -> None:
         """Notes a caller's request for a service."""
         seen = self.requests.setdefault(service, collections.deque())
         seen.append(now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -80,7 +80,7 @@
         call = call._replace(deadline=limit)
         progress = progress_module.Progress(call)
         service = route.service(call.id)
-        self.budget.requested(service, time.monotonic())
+        self.budget.record_request(service, time.monotonic())
         outcome = "cancelled"
         reason = ""
         try:
