--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -74,7 +74,7 @@
         seen = self.requests.setdefault(service, collections.deque())
         seen.append(now)
 
-    def spare(self) -> float:
+    def spare_repeats(self) -> float:
         """Spare repeats that this node may use in a window."""
         whole = USED_FRACTION * self.policy.slack
         if not self.nodes:
@@ -94,7 +94,9 @@
         requests = trimmed(self.requests.get(service), start)
         repeats = self.repeats.setdefault(service, collections.deque())
         trimmed(repeats, start)
-        most = USED_FRACTION * self.policy.share * requests + self.spare()
+        most = (
+            USED_FRACTION * self.policy.share * requests + self.spare_repeats()
+        )
         enough = 1.0
         if self.nodes and now - self.started_at < self.policy.window:
             most *= RESTRICTED_FRACTION
