--- a/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/budgets.py
@@ -91,9 +91,9 @@
             now: The time.
         """
         start = now - self.policy.window
-        requests = trimmed(self.requests.get(service), start)
+        requests = trim_and_count(self.requests.get(service), start)
         repeats = self.repeats.setdefault(service, collections.deque())
-        trimmed(repeats, start)
+        trim_and_count(repeats, start)
         most = (
             USED_FRACTION * self.policy.share * requests + self.spare_repeats()
         )
@@ -107,7 +107,7 @@
         return True
 
 
-def trimmed(times: collections.deque[float] | None, start: float) -> int:
+def trim_and_count(times: collections.deque[float] | None, start: float) -> int:
     """Drops the times before a start and counts the rest."""
     if times is None:
         return 0
