--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -10,7 +10,7 @@
 from typing import NamedTuple
 
 # Seconds for which another node's canary is taken to run without news of it.
-LIFE = 1.5
+LIFETIME_SECONDS = 1.5
 # Seconds for which an interrupted request waits until it is known whether its
 # replica crashed: a question to the replica and a message to all nodes.
 UNDECIDED = 0.5
@@ -19,7 +19,7 @@
 # How often what changes is sent, as datagrams may be lost, and seconds until a
 # canary that runs on is sent again.
 SEND_TIMES = 3
-REPEAT = LIFE / 3
+REPEAT = LIFETIME_SECONDS / 3
 
 
 class Canary(NamedTuple):
@@ -92,7 +92,9 @@
         known = self.known.get(place)
         if known is not None and known.number > canary.number:
             return False
-        canary = canary._replace(until=min(canary.until, now + LIFE))
+        canary = canary._replace(
+            until=min(canary.until, now + LIFETIME_SECONDS)
+        )
         if known is None or known.number < canary.number:
             self.known[place] = canary
             self.news[place] = SEND_TIMES
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -303,7 +303,9 @@
         now = time.monotonic()
         running = []
         for one in self.canaries.updates(self.is_relay(), now, most):
-            left = min(canaries_module.LIFE, max(0.0, one.until - now))
+            left = min(
+                canaries_module.LIFETIME_SECONDS, max(0.0, one.until - now)
+            )
             running.append(messages.Canary(*one[:-1], left))
         interrupted = []
         for one in self.crash_log.updates(now, most - len(running)):
