--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -13,7 +13,7 @@
 LIFETIME_SECONDS = 1.5
 # Seconds for which an interrupted request waits until it is known whether its
 # replica crashed: a question to the replica and a message to all nodes.
-UNDECIDED = 0.5
+HOLD_SECONDS = 0.5
 # Seconds for which the end of a canary is sent to other nodes.
 ENDED = 1.0
 # How often what changes is sent, as datagrams may be lost, and seconds until a
@@ -64,7 +64,7 @@
 
     def hold(self, fingerprint: int, instance: str, now: float) -> None:
         """Lets no copy of an interrupted request run for a moment."""
-        self.put(fingerprint, instance, now + UNDECIDED)
+        self.put(fingerprint, instance, now + HOLD_SECONDS)
 
     def put(self, fingerprint: int, instance: str, until: float) -> None:
         """Takes in a canary of this node."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -152,7 +152,7 @@
 
     def is_blocked(self, fingerprint: int, now: float) -> bool:
         """Whether a copy of a request runs as a canary, or may have crashed."""
-        if self.runs.is_undecided(fingerprint, canaries_module.UNDECIDED):
+        if self.runs.is_undecided(fingerprint, canaries_module.HOLD_SECONDS):
             return True
         return self.canaries.running(fingerprint, now)
 
