--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -15,7 +15,7 @@
 # replica crashed: a question to the replica and a message to all nodes.
 HOLD_SECONDS = 0.5
 # Seconds for which the end of a canary is sent to other nodes.
-ENDED = 1.0
+ENDED_SECONDS = 1.0
 # How often what changes is sent, as datagrams may be lost, and seconds until a
 # canary that runs on is sent again.
 SEND_TIMES = 3
@@ -110,7 +110,7 @@
     def expire(self, now: float) -> None:
         """Drops what has ended long ago."""
         for place, canary in list(self.known.items()):
-            if now - canary.until > ENDED:
+            if now - canary.until > ENDED_SECONDS:
                 del self.known[place]
                 self.news.pop(place, None)
                 self.sent.pop(place, None)
