--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -19,7 +19,7 @@
 # How often what changes is sent, as datagrams may be lost, and seconds until a
 # canary that runs on is sent again.
 SEND_TIMES = 3
-REPEAT = LIFETIME_SECONDS / 3
+REPEAT_SECONDS = LIFETIME_SECONDS / 3
 
 
 class Canary(NamedTuple):
@@ -156,7 +156,7 @@
                 continue
             sent = self.sent.get(place, -math.inf)
             runs = canary.until > now
-            if place in self.news or (runs and now - sent >= REPEAT):
+            if place in self.news or (runs and now - sent >= REPEAT_SECONDS):
                 due.append((sent, place))
         due.sort()
         found = []
