--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -55,7 +55,7 @@
         self.number = 0
         self.known: dict[tuple[int, int], Canary] = {}
         # How often each is still to be sent, and when it was sent last.
-        self.news: dict[tuple[int, int], int] = {}
+        self.pending_sends: dict[tuple[int, int], int] = {}
         self.sent: dict[tuple[int, int], float] = {}
 
     def start(self, fingerprint: int, instance: str) -> None:
@@ -73,7 +73,7 @@
         self.known[place] = Canary(
             fingerprint, self.owner, self.number, instance, until
         )
-        self.news[place] = SEND_TIMES
+        self.pending_sends[place] = SEND_TIMES
 
     def end(self, fingerprint: int, now: float) -> bool:
         """Notes that a canary of this node has ended; whether there was one."""
@@ -81,7 +81,7 @@
         if found is None or found.until <= now:
             return False
         self.known[fingerprint, self.owner] = found._replace(until=now)
-        self.news[fingerprint, self.owner] = SEND_TIMES
+        self.pending_sends[fingerprint, self.owner] = SEND_TIMES
         return True
 
     def merge(self, canary: Canary, now: float) -> bool:
@@ -97,14 +97,14 @@
         )
         if known is None or known.number < canary.number:
             self.known[place] = canary
-            self.news[place] = SEND_TIMES
+            self.pending_sends[place] = SEND_TIMES
             return True
         if known.until <= now:
             return False
         self.known[place] = canary
         ended = canary.until <= now
         if ended:
-            self.news[place] = SEND_TIMES
+            self.pending_sends[place] = SEND_TIMES
         return ended
 
     def expire(self, now: float) -> None:
@@ -112,7 +112,7 @@
         for place, canary in list(self.known.items()):
             if now - canary.until > ENDED_SECONDS:
                 del self.known[place]
-                self.news.pop(place, None)
+                self.pending_sends.pop(place, None)
                 self.sent.pop(place, None)
 
     def running(self, fingerprint: int, now: float) -> bool:
@@ -152,18 +152,20 @@
         due = []
         for place, canary in self.known.items():
             if canary.owner != self.owner and not relayed:
-                self.news.pop(place, None)
+                self.pending_sends.pop(place, None)
                 continue
             sent = self.sent.get(place, -math.inf)
             runs = canary.until > now
-            if place in self.news or (runs and now - sent >= REPEAT_SECONDS):
+            if place in self.pending_sends or (
+                runs and now - sent >= REPEAT_SECONDS
+            ):
                 due.append((sent, place))
         due.sort()
         found = []
         for _, place in due[:most]:
             self.sent[place] = now
-            left = self.news.pop(place, 1)
+            left = self.pending_sends.pop(place, 1)
             if left > 1:
-                self.news[place] = left - 1
+                self.pending_sends[place] = left - 1
             found.append(self.known[place])
         return found
