--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -56,7 +56,7 @@
         self.known: dict[tuple[int, int], Canary] = {}
         # How often each is still to be sent, and when it was sent last.
         self.pending_sends: dict[tuple[int, int], int] = {}
-        self.sent: dict[tuple[int, int], float] = {}
+        self.sent_at: dict[tuple[int, int], float] = {}
 
     def start(self, fingerprint: int, instance: str) -> None:
         """Notes that a canary of this node runs until `end`."""
@@ -113,7 +113,7 @@
             if now - canary.until > ENDED_SECONDS:
                 del self.known[place]
                 self.pending_sends.pop(place, None)
-                self.sent.pop(place, None)
+                self.sent_at.pop(place, None)
 
     def running(self, fingerprint: int, now: float) -> bool:
         """Whether a copy of a request runs as a canary, or is held."""
@@ -154,7 +154,7 @@
             if canary.owner != self.owner and not relayed:
                 self.pending_sends.pop(place, None)
                 continue
-            sent = self.sent.get(place, -math.inf)
+            sent = self.sent_at.get(place, -math.inf)
             runs = canary.until > now
             if place in self.pending_sends or (
                 runs and now - sent >= REPEAT_SECONDS
@@ -163,7 +163,7 @@
         due.sort()
         found = []
         for _, place in due[:most]:
-            self.sent[place] = now
+            self.sent_at[place] = now
             left = self.pending_sends.pop(place, 1)
             if left > 1:
                 self.pending_sends[place] = left - 1
