--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -60,13 +60,13 @@
 
     def start(self, fingerprint: int, instance: str) -> None:
         """Notes that a canary of this node runs until `end`."""
-        self.put(fingerprint, instance, math.inf)
+        self.record(fingerprint, instance, math.inf)
 
     def hold(self, fingerprint: int, instance: str, now: float) -> None:
         """Lets no copy of an interrupted request run for a moment."""
-        self.put(fingerprint, instance, now + HOLD_SECONDS)
+        self.record(fingerprint, instance, now + HOLD_SECONDS)
 
-    def put(self, fingerprint: int, instance: str, until: float) -> None:
+    def record(self, fingerprint: int, instance: str, until: float) -> None:
         """Takes in a canary of this node."""
         self.number += 1
         place = fingerprint, self.owner
