--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -115,7 +115,7 @@
                 self.pending_sends.pop(place, None)
                 self.sent_at.pop(place, None)
 
-    def running(self, fingerprint: int, now: float) -> bool:
+    def is_running(self, fingerprint: int, now: float) -> bool:
         """Whether a copy of a request runs as a canary, or is held."""
         for canary in self.known.values():
             if canary.fingerprint == fingerprint and canary.until > now:
@@ -133,7 +133,7 @@
 
     def free(self, fingerprint: int, instance: str, now: float) -> bool:
         """Whether a request may run as the canary of a replica."""
-        if self.running(fingerprint, now):
+        if self.is_running(fingerprint, now):
             return False
         for canary in self.known.values():
             if canary.instance == instance and canary.until > now:
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -154,7 +154,7 @@
         """Whether a copy of a request runs as a canary, or may have crashed."""
         if self.runs.is_undecided(fingerprint, canaries_module.HOLD_SECONDS):
             return True
-        return self.canaries.running(fingerprint, now)
+        return self.canaries.is_running(fingerprint, now)
 
     async def reserve(
         self, progress: progress_module.Progress, replica: types.Replica
