--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -122,7 +122,7 @@
                 return True
         return False
 
-    def elsewhere(self, fingerprint: int, now: float) -> bool:
+    def is_running_elsewhere(self, fingerprint: int, now: float) -> bool:
         """Whether another node runs a copy of a request as a canary."""
         for canary in self.known.values():
             if canary.owner == self.owner or canary.until <= now:
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -181,7 +181,7 @@
             await asyncio.sleep(self.propagation_time())
             now = time.monotonic()
             self.admit(progress)
-            alone = not self.canaries.elsewhere(fingerprint, now)
+            alone = not self.canaries.is_running_elsewhere(fingerprint, now)
             alone = alone and self.runs.directory.usable(replica.instance)
         finally:
             if not alone:
