--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -131,7 +131,7 @@
                 return True
         return False
 
-    def free(self, fingerprint: int, instance: str, now: float) -> bool:
+    def is_free(self, fingerprint: int, instance: str, now: float) -> bool:
         """Whether a request may run as the canary of a replica."""
         if self.is_running(fingerprint, now):
             return False
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -197,7 +197,7 @@
         verdict = self.crash_log.verdict(fingerprint, now)
         if verdict == crashes_module.Verdict.FREE:
             return True
-        return self.canaries.free(fingerprint, replica.instance, now)
+        return self.canaries.is_free(fingerprint, replica.instance, now)
 
     def record_start(self, run: runs_module.Run) -> None:
         """Notes that a request starts to run."""
