--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -140,7 +140,7 @@
                 return False
         return True
 
-    def updates(self, relayed: bool, now: float, most: int) -> list[Canary]:
+    def updates(self, relayed: bool, now: float, limit: int) -> list[Canary]:
         """What other nodes are to know; what was not sent for longest first.
 
         Args:
@@ -162,7 +162,7 @@
                 due.append((sent, place))
         due.sort()
         found = []
-        for _, place in due[:most]:
+        for _, place in due[:limit]:
             self.sent_at[place] = now
             left = self.pending_sends.pop(place, 1)
             if left > 1:
