--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -13,7 +13,7 @@
 
 # Seconds for which a replica is believed in whose entry is missing after the
 # store was away: living ones are back within two seconds of its return.
-GRACE = 2.0
+GRACE_SECONDS = 2.0
 # Seconds before the node must act at which it believes no more: requests that
 # were just sent arrive meanwhile.
 MARGIN = 0.2
@@ -122,8 +122,10 @@
     def own_grace(self, now: float) -> float:
         """Seconds for which a missing entry is believed, by own calls alone."""
         if self.since is None:
-            return GRACE
-        until = min(self.since + GRACE, self.missed + self.bound - MARGIN)
+            return GRACE_SECONDS
+        until = min(
+            self.since + GRACE_SECONDS, self.missed + self.bound - MARGIN
+        )
         return max(0.0, until - now)
 
     def grace(self, now: float) -> float:
