--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -16,7 +16,7 @@
 GRACE_SECONDS = 2.0
 # Seconds before the node must act at which it believes no more: requests that
 # were just sent arrive meanwhile.
-MARGIN = 0.2
+MARGIN_SECONDS = 0.2
 # Seconds for which the word of another node counts that is in touch; it comes
 # once a second at the least. An entry lapses three heartbeats after the store
 # went away, when the last word of before has long been void.
@@ -124,7 +124,8 @@
         if self.since is None:
             return GRACE_SECONDS
         until = min(
-            self.since + GRACE_SECONDS, self.missed + self.bound - MARGIN
+            self.since + GRACE_SECONDS,
+            self.missed + self.bound - MARGIN_SECONDS,
         )
         return max(0.0, until - now)
 
