--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -20,7 +20,7 @@
 # Seconds for which the word of another node counts that is in touch; it comes
 # once a second at the least. An entry lapses three heartbeats after the store
 # went away, when the last word of before has long been void.
-VOUCHED = 1.2
+CONFIRMATION_SECONDS = 1.2
 # Seconds for which such a word is passed on by a relay, which hears others ten
 # times a second.
 PASSED_ON = 0.5
@@ -131,7 +131,7 @@
 
     def grace(self, now: float) -> float:
         """Seconds for which a missing entry is believed."""
-        if now - self.vouched < VOUCHED:
+        if now - self.vouched < CONFIRMATION_SECONDS:
             return 0.0
         if self.since is None and self.lost_at is None:
             # Nothing was known before the first contact.
