--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -23,7 +23,7 @@
 CONFIRMATION_SECONDS = 1.2
 # Seconds for which such a word is passed on by a relay, which hears others ten
 # times a second.
-PASSED_ON = 0.5
+FORWARD_SECONDS = 0.5
 
 
 class Contact:
@@ -115,7 +115,7 @@
             between: Whether it is sent to those who might pass it on.
             now: The time.
         """
-        if not between and now - self.witnessed < PASSED_ON:
+        if not between and now - self.witnessed < FORWARD_SECONDS:
             return 0.0
         return self.own_grace(now)
 
