--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -51,7 +51,7 @@
 
     def __init__(self, bound: float, now: float):
         self.bound = bound
-        self.since: float | None = None
+        self.connected_since: float | None = None
         self.lost_at: float | None = None
         self.missed = now
         self.vouched = -math.inf
@@ -71,9 +71,9 @@
             Whether contact is lost by it.
         """
         self.missed = max(self.missed, asked)
-        if self.since is not None and asked < self.since:
+        if self.connected_since is not None and asked < self.connected_since:
             return False
-        self.since = None
+        self.connected_since = None
         if self.lost_at is not None:
             return False
         self.lost_at = now
@@ -85,9 +85,9 @@
         Returns:
             Seconds for which contact was lost; none where it was not.
         """
-        if self.since is not None:
+        if self.connected_since is not None:
             return None
-        self.since = now
+        self.connected_since = now
         if self.lost_at is None:
             return None
         seconds = now - self.lost_at
@@ -121,10 +121,10 @@
 
     def own_grace(self, now: float) -> float:
         """Seconds for which a missing entry is believed, by own calls alone."""
-        if self.since is None:
+        if self.connected_since is None:
             return GRACE_SECONDS
         until = min(
-            self.since + GRACE_SECONDS,
+            self.connected_since + GRACE_SECONDS,
             self.missed + self.bound - MARGIN_SECONDS,
         )
         return max(0.0, until - now)
@@ -133,7 +133,7 @@
         """Seconds for which a missing entry is believed."""
         if now - self.vouched < CONFIRMATION_SECONDS:
             return 0.0
-        if self.since is None and self.lost_at is None:
+        if self.connected_since is None and self.lost_at is None:
             # Nothing was known before the first contact.
             return 0.0
         return self.own_grace(now)
