--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -53,7 +53,7 @@
         self.bound = bound
         self.connected_since: float | None = None
         self.lost_at: float | None = None
-        self.missed = now
+        self.unanswered_at = now
         self.vouched = -math.inf
         self.witnessed = -math.inf
 
@@ -70,7 +70,7 @@
         Returns:
             Whether contact is lost by it.
         """
-        self.missed = max(self.missed, asked)
+        self.unanswered_at = max(self.unanswered_at, asked)
         if self.connected_since is not None and asked < self.connected_since:
             return False
         self.connected_since = None
@@ -125,7 +125,7 @@
             return GRACE_SECONDS
         until = min(
             self.connected_since + GRACE_SECONDS,
-            self.missed + self.bound - MARGIN_SECONDS,
+            self.unanswered_at + self.bound - MARGIN_SECONDS,
         )
         return max(0.0, until - now)
 
