--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -54,7 +54,7 @@
         self.connected_since: float | None = None
         self.lost_at: float | None = None
         self.unanswered_at = now
-        self.vouched = -math.inf
+        self.confirmed_at = -math.inf
         self.witnessed = -math.inf
 
     def failed(self, asked: float, now: float) -> bool:
@@ -101,7 +101,7 @@
             own: Whether it knows that by its own calls.
             now: The time.
         """
-        self.vouched = now
+        self.confirmed_at = now
         if own:
             self.witnessed = now
 
@@ -131,7 +131,7 @@
 
     def grace(self, now: float) -> float:
         """Seconds for which a missing entry is believed."""
-        if now - self.vouched < CONFIRMATION_SECONDS:
+        if now - self.confirmed_at < CONFIRMATION_SECONDS:
             return 0.0
         if self.connected_since is None and self.lost_at is None:
             # Nothing was known before the first contact.
