--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -55,7 +55,7 @@
         self.lost_at: float | None = None
         self.unanswered_at = now
         self.confirmed_at = -math.inf
-        self.witnessed = -math.inf
+        self.directly_confirmed_at = -math.inf
 
     def failed(self, asked: float, now: float) -> bool:
         """Notes a call that failed.
@@ -103,7 +103,7 @@
         """
         self.confirmed_at = now
         if own:
-            self.witnessed = now
+            self.directly_confirmed_at = now
 
     def shared_grace(self, between: bool, now: float) -> float:
         """Seconds for which a missing entry is believed, as sent to others.
@@ -115,7 +115,7 @@
             between: Whether it is sent to those who might pass it on.
             now: The time.
         """
-        if not between and now - self.witnessed < FORWARD_SECONDS:
+        if not between and now - self.directly_confirmed_at < FORWARD_SECONDS:
             return 0.0
         return self.own_grace(now)
 
