--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -94,7 +94,7 @@
         self.lost_at = None
         return seconds
 
-    def vouch(self, own: bool, now: float) -> None:
+    def confirm(self, own: bool, now: float) -> None:
         """Notes that another node says that the store was there all along.
 
         Args:
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -62,7 +62,7 @@
         Args:
             own: Whether it knows that by its own calls.
         """
-        self.contact.vouch(own, clocks.now())
+        self.contact.confirm(own, clocks.now())
 
     def shared_grace(self, between: bool) -> float:
         """Seconds for which a missing entry is believed, as sent to others.
