--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -94,7 +94,7 @@
         self.lost_at = None
         return seconds
 
-    def confirm(self, own: bool, now: float) -> None:
+    def confirm(self, direct: bool, now: float) -> None:
         """Notes that another node says that the store was there all along.
 
         Args:
@@ -102,7 +102,7 @@
             now: The time.
         """
         self.confirmed_at = now
-        if own:
+        if direct:
             self.directly_confirmed_at = now
 
     def shared_grace(self, between: bool, now: float) -> float:
