--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -105,7 +105,7 @@
         if direct:
             self.directly_confirmed_at = now
 
-    def shared_grace(self, between: bool, now: float) -> float:
+    def shared_grace(self, may_forward: bool, now: float) -> float:
         """Seconds for which a missing entry is believed, as sent to others.
 
         Two nodes that vouch for each other would know nothing of the store.
@@ -115,7 +115,10 @@
             between: Whether it is sent to those who might pass it on.
             now: The time.
         """
-        if not between and now - self.directly_confirmed_at < FORWARD_SECONDS:
+        if (
+            not may_forward
+            and now - self.directly_confirmed_at < FORWARD_SECONDS
+        ):
             return 0.0
         return self.own_grace(now)
 
