--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -19,7 +19,7 @@
 
 # Crashes after which a request is sent to no replica; two may well interrupt
 # the same request by chance.
-MOST_CRASHES = 3
+MAX_CRASHES = 3
 # Seconds of the first quarantine; a service may run the request well after a
 # new version. One run is tried after it.
 QUARANTINE = 600.0
@@ -200,7 +200,7 @@
             self.explain(fingerprint)
             return False
         crashes = max(self.count(fingerprint), self.silent(fingerprint))
-        if crashes < MOST_CRASHES:
+        if crashes < MAX_CRASHES:
             return False
         before = self.quarantines.get(fingerprint, 0)
         self.quarantines[fingerprint] = before + 1
@@ -280,7 +280,7 @@
         """Ends a quarantine; one more crash begins the next one."""
         del self.quarantined[fingerprint]
         suspected = sorted(self.suspected.get(fingerprint, ()))
-        for replica in suspected[: 1 + len(suspected) - MOST_CRASHES]:
+        for replica in suspected[: 1 + len(suspected) - MAX_CRASHES]:
             self.crashes[replica].expired.add(fingerprint)
 
     def updates(self, now: float, most: int) -> list[Interrupted]:
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -172,7 +172,7 @@
         fingerprint = progress.fingerprint
         if not self.can_run(fingerprint, replica):
             return False
-        if self.crash_log.count(fingerprint) < crashes_module.MOST_CRASHES - 1:
+        if self.crash_log.count(fingerprint) < crashes_module.MAX_CRASHES - 1:
             return True
         self.canaries.start(fingerprint, replica.instance)
         self.notify_peers()
