--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -22,7 +22,7 @@
 MAX_CRASHES = 3
 # Seconds of the first quarantine; a service may run the request well after a
 # new version. One run is tried after it.
-QUARANTINE = 600.0
+QUARANTINE_SECONDS = 600.0
 # Times by which each further quarantine of a request is longer, and the longest
 # in seconds.
 LONGER = 4.0
@@ -204,7 +204,7 @@
             return False
         before = self.quarantines.get(fingerprint, 0)
         self.quarantines[fingerprint] = before + 1
-        seconds = min(LONGEST_QUARANTINE, QUARANTINE * LONGER**before)
+        seconds = min(LONGEST_QUARANTINE, QUARANTINE_SECONDS * LONGER**before)
         self.quarantined[fingerprint] = now + seconds
         self.explain(fingerprint)
         return True
