--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -25,7 +25,7 @@
 QUARANTINE_SECONDS = 600.0
 # Times by which each further quarantine of a request is longer, and the longest
 # in seconds.
-LONGER = 4.0
+QUARANTINE_FACTOR = 4.0
 LONGEST_QUARANTINE = 86400.0
 # Crashes that are remembered, and interrupted requests of each: an attacker
 # that makes up new requests must not fill the memory.
@@ -204,7 +204,9 @@
             return False
         before = self.quarantines.get(fingerprint, 0)
         self.quarantines[fingerprint] = before + 1
-        seconds = min(LONGEST_QUARANTINE, QUARANTINE_SECONDS * LONGER**before)
+        seconds = min(
+            LONGEST_QUARANTINE, QUARANTINE_SECONDS * QUARANTINE_FACTOR**before
+        )
         self.quarantined[fingerprint] = now + seconds
         self.explain(fingerprint)
         return True
