--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -26,7 +26,7 @@
 # Times by which each further quarantine of a request is longer, and the longest
 # in seconds.
 QUARANTINE_FACTOR = 4.0
-LONGEST_QUARANTINE = 86400.0
+MAX_QUARANTINE_SECONDS = 86400.0
 # Crashes that are remembered, and interrupted requests of each: an attacker
 # that makes up new requests must not fill the memory.
 MOST_RECORDS = 256
@@ -205,7 +205,8 @@
         before = self.quarantines.get(fingerprint, 0)
         self.quarantines[fingerprint] = before + 1
         seconds = min(
-            LONGEST_QUARANTINE, QUARANTINE_SECONDS * QUARANTINE_FACTOR**before
+            MAX_QUARANTINE_SECONDS,
+            QUARANTINE_SECONDS * QUARANTINE_FACTOR**before,
         )
         self.quarantined[fingerprint] = now + seconds
         self.explain(fingerprint)
--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -129,7 +129,7 @@
             events.log(events.RECORD_SKIPPED, key=record.key, reason=str(error))
             return
         age = time.time() - found.written_at
-        if age > crashes_module.LONGEST_QUARANTINE:
+        if age > crashes_module.MAX_QUARANTINE_SECONDS:
             self.schedule_write(fingerprint)
             return
         suspicions = []
