--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -29,7 +29,7 @@
 MAX_QUARANTINE_SECONDS = 86400.0
 # Crashes that are remembered, and interrupted requests of each: an attacker
 # that makes up new requests must not fill the memory.
-MOST_RECORDS = 256
+MAX_CRASH_RECORDS = 256
 MOST_REQUESTS = 128
 # How often a suspicion is sent, as datagrams may be lost.
 SEND_TIMES = 3
@@ -174,7 +174,7 @@
         if found is not None:
             return found
         found = self.crashes[replica] = Crash(now)
-        if len(self.crashes) > MOST_RECORDS:
+        if len(self.crashes) > MAX_CRASH_RECORDS:
             self.forget(next(iter(self.crashes)))
         return found
 
