--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -30,7 +30,7 @@
 # Crashes that are remembered, and interrupted requests of each: an attacker
 # that makes up new requests must not fill the memory.
 MAX_CRASH_RECORDS = 256
-MOST_REQUESTS = 128
+MAX_REQUESTS_PER_CRASH = 128
 # How often a suspicion is sent, as datagrams may be lost.
 SEND_TIMES = 3
 # Seconds between two rounds in which what is known is sent again, at the least.
@@ -150,7 +150,7 @@
         crash = self.crash(report.replica, now)
         fingerprint = report.fingerprint
         known = fingerprint in crash.requests
-        if not known and len(crash.requests) >= MOST_REQUESTS:
+        if not known and len(crash.requests) >= MAX_REQUESTS_PER_CRASH:
             return False
         output = crash.requests.get(fingerprint, True) and report.output
         changed = not known or output != crash.requests[fingerprint]
