--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -34,7 +34,7 @@
 # How often a suspicion is sent, as datagrams may be lost.
 SEND_TIMES = 3
 # Seconds between two rounds in which what is known is sent again, at the least.
-REFRESH = 1.0
+REFRESH_SECONDS = 1.0
 # Seconds after a crash for which suspicions of this crash alone are sent again:
 # a node that was cut off for longer learns those of requests that crash more.
 RECENT = 60.0
@@ -293,7 +293,7 @@
             now: The time.
             most: Suspicions at most.
         """
-        if not self.repeats and now - self.refreshed >= REFRESH:
+        if not self.repeats and now - self.refreshed >= REFRESH_SECONDS:
             self.refreshed = now
             self.refresh(now)
         updates = []
