--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -37,7 +37,7 @@
 REFRESH_SECONDS = 1.0
 # Seconds after a crash for which suspicions of this crash alone are sent again:
 # a node that was cut off for longer learns those of requests that crash more.
-RECENT = 60.0
+RECENT_SECONDS = 60.0
 
 
 class Verdict(enum.Enum):
@@ -338,6 +338,6 @@
                     continue
                 if self.count(fingerprint) > 1:
                     self.repeats.append((replica, fingerprint))
-                elif now - crash.at < RECENT:
+                elif now - crash.at < RECENT_SECONDS:
                     single.append((replica, fingerprint))
         self.repeats.extend(single)
