--- a/features/steps/crash_log_steps.py
+++ b/features/steps/crash_log_steps.py
@@ -62,7 +62,7 @@
             verdicts.append(log.verdict(fingerprint, 1.0))
         found.add(tuple(verdicts))
     assert len(found) == 1, len(found)
-    assert crashes_module.Verdict.QUARANTINED in next(iter(found))
+    assert crashes_module.Decision.QUARANTINED in next(iter(found))
 
 
 @behave.given("a request that has crashed {count:d} replicas")
@@ -81,9 +81,9 @@
 @behave.then("it is in quarantine for {seconds:d} seconds")
 def step_quarantined(context, seconds):
     context.now += seconds - 1.0
-    assert judged(context) == crashes_module.Verdict.QUARANTINED
+    assert judged(context) == crashes_module.Decision.QUARANTINED
     context.now += 2.0
-    assert judged(context) == crashes_module.Verdict.CANARY, judged(context)
+    assert judged(context) == crashes_module.Decision.CANARY, judged(context)
 
 
 @behave.then(
@@ -95,7 +95,7 @@
             replica(number), REQUEST, False, False
         )
         context.log.merge(report, True, context.now)
-    assert judged(context) == crashes_module.Verdict.CANARY, judged(context)
+    assert judged(context) == crashes_module.Decision.CANARY, judged(context)
 
 
 @behave.then("one more crash puts it into quarantine for {seconds:d} seconds")
@@ -116,7 +116,7 @@
 
 @behave.then("it is sent like any other")
 def step_free(context):
-    assert judged(context) == crashes_module.Verdict.FREE, judged(context)
+    assert judged(context) == crashes_module.Decision.FREE, judged(context)
 
 
 @behave.when(
--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -40,7 +40,7 @@
 RECENT_SECONDS = 60.0
 
 
-class Verdict(enum.Enum):
+class Decision(enum.Enum):
     """What may be done with a request.
 
     Attributes:
@@ -262,22 +262,22 @@
             count += not crash.requests[fingerprint]
         return count
 
-    def verdict(self, fingerprint: int, now: float) -> Verdict:
+    def verdict(self, fingerprint: int, now: float) -> Decision:
         """What may be done with a request."""
         until = self.quarantined.get(fingerprint)
         if until is not None and now < until:
-            return Verdict.QUARANTINED
+            return Decision.QUARANTINED
         if until is not None:
             self.release(fingerprint)
         suspicions = self.suspicions(fingerprint)
         if not suspicions:
-            return Verdict.FREE
+            return Decision.FREE
         output = self.crashes[suspicions[0]].requests[fingerprint]
         # What crashes a replica does so soon after its start as a rule: a
         # single crash speaks little against a request that had given output.
         if len(suspicions) == 1 and output:
-            return Verdict.FREE
-        return Verdict.CANARY
+            return Decision.FREE
+        return Decision.CANARY
 
     def release(self, fingerprint: int) -> None:
         """Ends a quarantine; one more crash begins the next one."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -65,7 +65,7 @@
         """
         now = time.monotonic()
         verdict = self.crash_log.verdict(progress.fingerprint, now)
-        if verdict != crashes_module.Verdict.QUARANTINED:
+        if verdict != crashes_module.Decision.QUARANTINED:
             return
         until = self.crash_log.quarantined[progress.fingerprint]
         events.log(
@@ -148,7 +148,7 @@
         if self.is_blocked(fingerprint, now):
             return False
         verdict = self.crash_log.verdict(fingerprint, now)
-        return verdict == crashes_module.Verdict.FREE
+        return verdict == crashes_module.Decision.FREE
 
     def is_blocked(self, fingerprint: int, now: float) -> bool:
         """Whether a copy of a request runs as a canary, or may have crashed."""
@@ -195,14 +195,14 @@
         if self.is_blocked(fingerprint, now):
             return False
         verdict = self.crash_log.verdict(fingerprint, now)
-        if verdict == crashes_module.Verdict.FREE:
+        if verdict == crashes_module.Decision.FREE:
             return True
         return self.canaries.is_free(fingerprint, replica.instance, now)
 
     def record_start(self, run: runs_module.Run) -> None:
         """Notes that a request starts to run."""
         verdict = self.crash_log.verdict(run.fingerprint, time.monotonic())
-        if verdict != crashes_module.Verdict.CANARY:
+        if verdict != crashes_module.Decision.CANARY:
             self.canaries.end(run.fingerprint, time.monotonic())
             return
         run.is_canary = True
