--- a/features/steps/crash_log_steps.py
+++ b/features/steps/crash_log_steps.py
@@ -59,7 +59,7 @@
             log.merge(report, False, 0.0)
         verdicts = []
         for fingerprint in sorted({one.fingerprint for one in reports}):
-            verdicts.append(log.verdict(fingerprint, 1.0))
+            verdicts.append(log.decide(fingerprint, 1.0))
         found.add(tuple(verdicts))
     assert len(found) == 1, len(found)
     assert crashes_module.Decision.QUARANTINED in next(iter(found))
--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -262,7 +262,7 @@
             count += not crash.requests[fingerprint]
         return count
 
-    def verdict(self, fingerprint: int, now: float) -> Decision:
+    def decide(self, fingerprint: int, now: float) -> Decision:
         """What may be done with a request."""
         until = self.quarantined.get(fingerprint)
         if until is not None and now < until:
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -64,7 +64,7 @@
             exceptions.AnswerAbandoned: It is, and its answer has begun.
         """
         now = time.monotonic()
-        verdict = self.crash_log.verdict(progress.fingerprint, now)
+        verdict = self.crash_log.decide(progress.fingerprint, now)
         if verdict != crashes_module.Decision.QUARANTINED:
             return
         until = self.crash_log.quarantined[progress.fingerprint]
@@ -147,7 +147,7 @@
         now = time.monotonic()
         if self.is_blocked(fingerprint, now):
             return False
-        verdict = self.crash_log.verdict(fingerprint, now)
+        verdict = self.crash_log.decide(fingerprint, now)
         return verdict == crashes_module.Decision.FREE
 
     def is_blocked(self, fingerprint: int, now: float) -> bool:
@@ -194,14 +194,14 @@
         now = time.monotonic()
         if self.is_blocked(fingerprint, now):
             return False
-        verdict = self.crash_log.verdict(fingerprint, now)
+        verdict = self.crash_log.decide(fingerprint, now)
         if verdict == crashes_module.Decision.FREE:
             return True
         return self.canaries.is_free(fingerprint, replica.instance, now)
 
     def record_start(self, run: runs_module.Run) -> None:
         """Notes that a request starts to run."""
-        verdict = self.crash_log.verdict(run.fingerprint, time.monotonic())
+        verdict = self.crash_log.decide(run.fingerprint, time.monotonic())
         if verdict != crashes_module.Decision.CANARY:
             self.canaries.end(run.fingerprint, time.monotonic())
             return
