--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -119,7 +119,7 @@
         self.suspected: dict[int, set[Incarnation]] = {}
         self.quarantined: dict[int, float] = {}
         self.quarantines: dict[int, int] = {}
-        self.news: dict[tuple[Incarnation, int], int] = {}
+        self.pending_sends: dict[tuple[Incarnation, int], int] = {}
         self.repeats: collections.deque[tuple[Incarnation, int]] = (
             collections.deque()
         )
@@ -159,7 +159,7 @@
             crash.cleared.add(fingerprint)
             changed = True
         if changed and pass_on:
-            self.news[report.replica, fingerprint] = SEND_TIMES
+            self.pending_sends[report.replica, fingerprint] = SEND_TIMES
         if fingerprint in crash.cleared:
             self.withdraw(fingerprint, report.replica)
             if fingerprint not in self.suspected:
@@ -182,7 +182,7 @@
         """Drops the record of a crash."""
         crash = self.crashes.pop(replica)
         for fingerprint in crash.requests:
-            self.news.pop((replica, fingerprint), None)
+            self.pending_sends.pop((replica, fingerprint), None)
             self.withdraw(fingerprint, replica)
 
     def withdraw(self, fingerprint: int, replica: Incarnation) -> None:
@@ -229,7 +229,7 @@
             crash.cleared.add(fingerprint)
             if crash.cause == fingerprint:
                 crash.cause = None
-            self.news[replica, fingerprint] = SEND_TIMES
+            self.pending_sends[replica, fingerprint] = SEND_TIMES
         self.quarantined.pop(fingerprint, None)
         return True
 
@@ -297,11 +297,11 @@
             self.refreshed = now
             self.refresh(now)
         updates = []
-        for place, left in list(self.news.items())[:most]:
-            del self.news[place]
+        for place, left in list(self.pending_sends.items())[:most]:
+            del self.pending_sends[place]
             # What has been sent goes behind what has not.
             if left > 1:
-                self.news[place] = left - 1
+                self.pending_sends[place] = left - 1
             updates.append(self.known(*place))
         while self.repeats and len(updates) < most:
             replica, fingerprint = self.repeats.popleft()
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -318,7 +318,7 @@
                     one.cleared,
                 )
             )
-        more = bool(self.crash_log.news or self.canaries.pending_sends)
+        more = bool(self.crash_log.pending_sends or self.canaries.pending_sends)
         return crash_news.News(interrupted, running, more)
 
     def merge_suspicions(
