--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -136,7 +136,7 @@
         report = Interrupted(replica, fingerprint, output, False)
         return self.merge(report, True, now)
 
-    def merge(self, report: Interrupted, pass_on: bool, now: float) -> bool:
+    def merge(self, report: Interrupted, forward: bool, now: float) -> bool:
         """Takes in one suspicion, of this node or another one.
 
         Args:
@@ -158,7 +158,7 @@
         if report.cleared and fingerprint not in crash.cleared:
             crash.cleared.add(fingerprint)
             changed = True
-        if changed and pass_on:
+        if changed and forward:
             self.pending_sends[report.replica, fingerprint] = SEND_TIMES
         if fingerprint in crash.cleared:
             self.withdraw(fingerprint, report.replica)
