--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -166,7 +166,7 @@
                 self.quarantined.pop(fingerprint, None)
             return False
         self.suspected.setdefault(fingerprint, set()).add(report.replica)
-        return self.judge(fingerprint, now)
+        return self.update_quarantine(fingerprint, now)
 
     def crash(self, replica: Incarnation, now: float) -> Crash:
         """Finds the record of a crash, or begins it."""
@@ -194,7 +194,7 @@
         if not suspected:
             del self.suspected[fingerprint]
 
-    def judge(self, fingerprint: int, now: float) -> bool:
+    def update_quarantine(self, fingerprint: int, now: float) -> bool:
         """Puts a request into quarantine once it has crashed too much."""
         if fingerprint in self.quarantined:
             self.explain(fingerprint)
