--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -197,7 +197,7 @@
     def update_quarantine(self, fingerprint: int, now: float) -> bool:
         """Puts a request into quarantine once it has crashed too much."""
         if fingerprint in self.quarantined:
-            self.explain(fingerprint)
+            self.attribute_crashes(fingerprint)
             return False
         crashes = max(self.count(fingerprint), self.silent(fingerprint))
         if crashes < MAX_CRASHES:
@@ -209,10 +209,10 @@
             QUARANTINE_SECONDS * QUARANTINE_FACTOR**before,
         )
         self.quarantined[fingerprint] = now + seconds
-        self.explain(fingerprint)
+        self.attribute_crashes(fingerprint)
         return True
 
-    def explain(self, fingerprint: int) -> None:
+    def attribute_crashes(self, fingerprint: int) -> None:
         """Lets a request in quarantine stand for all its crashes."""
         for replica in self.suspected.get(fingerprint, ()):
             crash = self.crashes[replica]
