--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -199,7 +199,9 @@
         if fingerprint in self.quarantined:
             self.attribute_crashes(fingerprint)
             return False
-        crashes = max(self.count(fingerprint), self.silent(fingerprint))
+        crashes = max(
+            self.count(fingerprint), self.count_before_output(fingerprint)
+        )
         if crashes < MAX_CRASHES:
             return False
         before = self.quarantines.get(fingerprint, 0)
@@ -248,7 +250,7 @@
         """Counts the crashes of which a request is suspected."""
         return len(self.suspicions(fingerprint))
 
-    def silent(self, fingerprint: int) -> int:
+    def count_before_output(self, fingerprint: int) -> int:
         """Counts the crashes that interrupted a request before it gave output.
 
         Explained ones count too: two requests that crash replicas may have
