--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -147,7 +147,7 @@
         Returns:
             Whether that puts the request into quarantine.
         """
-        crash = self.crash(report.replica, now)
+        crash = self.crash_record(report.replica, now)
         fingerprint = report.fingerprint
         known = fingerprint in crash.requests
         if not known and len(crash.requests) >= MAX_REQUESTS_PER_CRASH:
@@ -168,7 +168,7 @@
         self.suspected.setdefault(fingerprint, set()).add(report.replica)
         return self.update_quarantine(fingerprint, now)
 
-    def crash(self, replica: Incarnation, now: float) -> Crash:
+    def crash_record(self, replica: Incarnation, now: float) -> Crash:
         """Finds the record of a crash, or begins it."""
         found = self.crashes.get(replica)
         if found is not None:
