--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -288,7 +288,7 @@
         for replica in suspected[: 1 + len(suspected) - MAX_CRASHES]:
             self.crashes[replica].expired.add(fingerprint)
 
-    def updates(self, now: float, most: int) -> list[Interrupted]:
+    def updates(self, now: float, limit: int) -> list[Interrupted]:
         """What other nodes are sent next: news first, then what is repeated.
 
         Args:
@@ -299,13 +299,13 @@
             self.refreshed = now
             self.refresh(now)
         updates = []
-        for place, left in list(self.pending_sends.items())[:most]:
+        for place, left in list(self.pending_sends.items())[:limit]:
             del self.pending_sends[place]
             # What has been sent goes behind what has not.
             if left > 1:
                 self.pending_sends[place] = left - 1
             updates.append(self.known(*place))
-        while self.repeats and len(updates) < most:
+        while self.repeats and len(updates) < limit:
             replica, fingerprint = self.repeats.popleft()
             if fingerprint in self.suspicions_of(replica):
                 updates.append(self.known(replica, fingerprint))
