--- a/packages/gypsumfold/src/gypsumfold/decisions/demands.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/demands.py
@@ -11,7 +11,7 @@
 
 # Seconds over which demand is remembered: a few digests of half a second, so
 # that shares follow a caller who moves to another node.
-MEMORY = 2.0
+MEMORY_SECONDS = 2.0
 # A node's share is at least this part of an equal one: a node without demand
 # until now must be able to start.
 LEAST_SHARE = 0.5
@@ -34,12 +34,12 @@
     def add(self, prompt: float, output: float, now: float) -> None:
         """Counts one request."""
         self.decay(now)
-        self.prompt += prompt / MEMORY
-        self.output += output / MEMORY
+        self.prompt += prompt / MEMORY_SECONDS
+        self.output += output / MEMORY_SECONDS
 
     def decay(self, now: float) -> None:
         """Forgets what lies more than about `MEMORY` seconds back."""
-        factor = math.exp(-max(0.0, now - self.updated) / MEMORY)
+        factor = math.exp(-max(0.0, now - self.updated) / MEMORY_SECONDS)
         self.prompt *= factor
         self.output *= factor
         self.updated = now
