--- a/packages/gypsumfold/src/gypsumfold/decisions/demands.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/demands.py
@@ -14,7 +14,7 @@
 MEMORY_SECONDS = 2.0
 # A node's share is at least this part of an equal one: a node without demand
 # until now must be able to start.
-LEAST_SHARE = 0.5
+MIN_EQUAL_SHARE = 0.5
 
 
 class Meter:
@@ -55,4 +55,4 @@
     total = own.tokens + sum(other.tokens for other in others)
     equal = 1.0 / (1 + len(others))
     part = own.tokens / total if total > 0 else equal
-    return max(part, equal * LEAST_SHARE)
+    return max(part, equal * MIN_EQUAL_SHARE)
