--- a/packages/gypsumfold/src/gypsumfold/decisions/demands.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/demands.py
@@ -17,7 +17,7 @@
 MIN_EQUAL_SHARE = 0.5
 
 
-class Meter:
+class DemandMeter:
     """Measures the demand at one node.
 
     >>> meter = Meter()
--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduling.py
@@ -83,7 +83,7 @@
         self.policy = policy
         self.parts = composed or parts(policy, rng)
         self.selection = selection.Selection(self.parts)
-        self.meter = demands_module.Meter()
+        self.meter = demands_module.DemandMeter()
         self.closed_since: float | None = None
         self.reviewed = float("-inf")
 
