--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -21,7 +21,7 @@
 DIFFERING = 0.4
 
 
-class Following:
+class TopicStaleness:
     """How old a node's knowledge of one topic is, at the worst.
 
     Attributes:
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -252,7 +252,9 @@
         return ENCODER.encode(questions_module.Registered(end, entries))
 
 
-def sent_age(known: following.Following, now: float, between: bool) -> float:
+def sent_age(
+    known: following.TopicStaleness, now: float, between: bool
+) -> float:
     """The age of what is known, as it is sent."""
     known_at = known.read_at if between else known.known_at
     return round(min(now - known_at, watching.MOST_AGE), 3)
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -135,7 +135,7 @@
         self.position = 0
         self.whole_at = -math.inf
         self.doubted = False
-        self.following = following_module.Following(bound)
+        self.following = following_module.TopicStaleness(bound)
         self.alone_at = -math.inf
         self.needed: Callable[[], bool] = lambda: True
         self.reads: Callable[[], bool] = lambda: True
@@ -268,6 +268,6 @@
             self.state.answered()
 
 
-def rounded_age(known: following_module.Following, now: float) -> float:
+def rounded_age(known: following_module.TopicStaleness, now: float) -> float:
     """The age of what is known, for a log line."""
     return round(min(known.age(now), MOST_AGE), 3)
