--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -334,7 +334,7 @@
 @behave.given("a bound of {seconds:g} seconds")
 def step_bound(context, seconds):
     context.following = following.TopicStaleness(seconds)
-    context.following.confirmed(100.0)
+    context.following.confirm(100.0)
 
 
 @behave.then(
--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -48,9 +48,9 @@
     def read(self, read_at: float) -> None:
         """Notes a moment whose state this node itself has read."""
         self.read_at = max(self.read_at, read_at)
-        self.confirmed(read_at)
+        self.confirm(read_at)
 
-    def confirmed(self, known_at: float) -> None:
+    def confirm(self, known_at: float) -> None:
         """Notes a moment at which all that was written was known."""
         self.known_at = max(self.known_at, known_at)
         self.differing_since = None
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -262,7 +262,7 @@
         """Takes over how far a relay has read that knows the same."""
         self.position = max(end, self.position)
         self.whole_at = max(known_at, self.whole_at)
-        self.following.confirmed(known_at)
+        self.following.confirm(known_at)
         if not self.reads() and not self.following.doubtful(clocks.now()):
             self.failures = 0
             self.state.answered()
