--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -45,7 +45,7 @@
         self.read_at = -math.inf
         self.differing_since: float | None = None
 
-    def read(self, read_at: float) -> None:
+    def record_read(self, read_at: float) -> None:
         """Notes a moment whose state this node itself has read."""
         self.read_at = max(self.read_at, read_at)
         self.confirm(read_at)
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -222,7 +222,7 @@
         self.position = page.end
         self.whole_at = asked
         self.doubted = False
-        self.following.read(asked)
+        self.following.record_read(asked)
 
     async def read_on(self) -> None:
         """Reads the records that came since; waits for one as a reader."""
@@ -240,7 +240,7 @@
             # A relay that speaks of more is not asked for it in a loop.
             await self.idle()
         # The store answers an empty page once it has waited in vain.
-        self.following.read(asked if page.records else asked + wait)
+        self.following.record_read(asked if page.records else asked + wait)
 
     async def read_page(self, start: int, wait: float) -> store_module.Page:
         """Reads from an offset on, unless that becomes overdue.
