--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -55,7 +55,7 @@
         self.known_at = max(self.known_at, known_at)
         self.differing_since = None
 
-    def differs(self, now: float) -> None:
+    def record_difference(self, now: float) -> None:
         """Notes that the teller knows something else."""
         if self.differing_since is None:
             self.differing_since = now
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -156,7 +156,7 @@
         if self.registrations.registry.digest == knowledge.digest:
             watch.trust(knowledge.end, now - knowledge.age)
         elif knowledge.end >= watch.position:
-            watch.following.differs(now)
+            watch.following.record_difference(now)
             if watch.following.differing(now) and now >= self.next_question:
                 self.next_question = now + ASKING
                 self.different = address
