--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -64,7 +64,7 @@
         """Seconds since which something may have been missed."""
         return now - self.known_at
 
-    def doubtful(self, now: float) -> bool:
+    def is_stale(self, now: float) -> bool:
         """Whether the node is to read for itself."""
         if self.age(now) > SHARE * self.bound:
             return True
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -71,7 +71,7 @@
         if self.reads() or not watch.read:
             return True
         now = clocks.now()
-        doubtful = watch.following.doubtful(now)
+        doubtful = watch.following.is_stale(now)
         if doubtful and not self.doubting:
             events.log(
                 events.KNOWLEDGE_DOUBTED,
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -263,7 +263,7 @@
         self.position = max(end, self.position)
         self.whole_at = max(known_at, self.whole_at)
         self.following.confirm(known_at)
-        if not self.reads() and not self.following.doubtful(clocks.now()):
+        if not self.reads() and not self.following.is_stale(clocks.now()):
             self.failures = 0
             self.state.answered()
 
