--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -68,9 +68,9 @@
         """Whether the node is to read for itself."""
         if self.age(now) > SHARE * self.bound:
             return True
-        return self.differing(now, 2 * DIFFERING)
+        return self.is_differing(now, 2 * DIFFERING)
 
-    def differing(self, now: float, seconds: float = DIFFERING) -> bool:
+    def is_differing(self, now: float, seconds: float = DIFFERING) -> bool:
         """Whether the teller has known something else for a while."""
         since = self.differing_since
         return since is not None and now - since > seconds
