--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -14,7 +14,7 @@
 # Share of the time within which a change must be known after which what is
 # known is too old: the rest is for the call, a repeat of it and the requests
 # under way.
-SHARE = 0.5
+MAX_AGE_FRACTION = 0.5
 # Seconds for which a digest may differ until the teller is asked for all that
 # it knows: changes are told again for 0.35 s. After as much again the store is
 # read.
@@ -66,7 +66,7 @@
 
     def is_stale(self, now: float) -> bool:
         """Whether the node is to read for itself."""
-        if self.age(now) > SHARE * self.bound:
+        if self.age(now) > MAX_AGE_FRACTION * self.bound:
             return True
         return self.is_differing(now, 2 * DIFFERING)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -96,7 +96,7 @@
         age = watch.following.age(now)
         if age > self.limits.age:
             return True
-        longest = following.SHARE * watch.following.bound
+        longest = following.MAX_AGE_FRACTION * watch.following.bound
         return now - self.registrations_watch.alone_at < longest < age
 
     def outgoing(self, between: bool) -> messages.Knowledge | None:
