--- a/packages/gypsumfold/src/gypsumfold/decisions/following.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/following.py
@@ -18,7 +18,7 @@
 # Seconds for which a digest may differ until the teller is asked for all that
 # it knows: changes are told again for 0.35 s. After as much again the store is
 # read.
-DIFFERING = 0.4
+DIFFERENCE_SECONDS = 0.4
 
 
 class TopicStaleness:
@@ -68,9 +68,11 @@
         """Whether the node is to read for itself."""
         if self.age(now) > MAX_AGE_FRACTION * self.bound:
             return True
-        return self.is_differing(now, 2 * DIFFERING)
+        return self.is_differing(now, 2 * DIFFERENCE_SECONDS)
 
-    def is_differing(self, now: float, seconds: float = DIFFERING) -> bool:
+    def is_differing(
+        self, now: float, seconds: float = DIFFERENCE_SECONDS
+    ) -> bool:
         """Whether the teller has known something else for a while."""
         since = self.differing_since
         return since is not None and now - since > seconds
