--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -315,7 +315,7 @@
     """Random histories: fresh implies level with all that was just heard."""
     choice = random.Random(9)
     for _ in range(200):
-        freshness = freshness_module.Freshness()
+        freshness = freshness_module.ConfigFreshness()
         heard_log = None
         vouched = 0.0
         peers = {}
--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -53,7 +53,7 @@
     peers: tuple[PeerView, ...]
 
 
-class Freshness:
+class ConfigFreshness:
     """Follows what a node knows and says whether that is enough.
 
     >>> freshness = Freshness()
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -76,7 +76,7 @@
         self.peers = peers
         self.publisher = publisher
         self.incarnation = incarnation
-        self.freshness = freshness_module.Freshness()
+        self.freshness = freshness_module.ConfigFreshness()
         self.looked = 0.0
         self.served: tuple[int, bytes] = (-1, b"")
         peers.handle("config.pull", thrift.ConfigPull, self.serve)
