--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -347,7 +347,7 @@
 
 def near(view, now):
     """The peers heard lately, and whether the log was."""
-    limit = freshness_module.CUT_OFF_AFTER
+    limit = freshness_module.CUT_OFF_SECONDS
     log_up = view.log_heard is not None and now - view.log_heard <= limit
     return [p for p in view.peers if now - p.heard <= limit], log_up
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -10,7 +10,7 @@
 # Seconds without the log and without any peer until a node counts as cut
 # off. The tail waits up to 1 s for a record and 2 s for an answer, so one
 # slow answer alone does not reach it.
-CUT_OFF_AFTER = 4.0
+CUT_OFF_SECONDS = 4.0
 
 # Seconds after the first peer was heard until peers alone may vouch for the
 # configuration of a starting node: time for the others to be heard, too, at
@@ -83,9 +83,10 @@
         Returns:
             Whether the node knows the configuration well enough.
         """
-        heard = [p for p in view.peers if now - p.heard <= CUT_OFF_AFTER]
+        heard = [p for p in view.peers if now - p.heard <= CUT_OFF_SECONDS]
         log_up = (
-            view.log_heard is not None and now - view.log_heard <= CUT_OFF_AFTER
+            view.log_heard is not None
+            and now - view.log_heard <= CUT_OFF_SECONDS
         )
         if not heard:
             self.first_heard = None
