--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -342,7 +342,7 @@
             if not started:
                 check_started(view, now)
                 vouched = now
-            assert now - vouched <= freshness_module.SETTLE, view
+            assert now - vouched <= freshness_module.SETTLE_SECONDS, view
 
 
 def near(view, now):
--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -15,7 +15,7 @@
 # Seconds after the first peer was heard until peers alone may vouch for the
 # configuration of a starting node: time for the others to be heard, too, at
 # three of the default heartbeats.
-SETTLE = 1.5
+SETTLE_SECONDS = 1.5
 
 # Seconds that a node may be behind a peer. A pull takes a fraction of one;
 # the users ask for "within seconds".
@@ -112,7 +112,7 @@
             return True
         if not any(peer.revision >= 0 for peer in heard):
             return False
-        return now - self.first_heard >= SETTLE
+        return now - self.first_heard >= SETTLE_SECONDS
 
     def stays_fresh(
         self, view: View, heard: list[PeerView], log_up: bool, now: float
@@ -124,4 +124,4 @@
             self.vouched = now
         if now - self.level > BEHIND_LIMIT:
             return False
-        return now - self.vouched <= SETTLE
+        return now - self.vouched <= SETTLE_SECONDS
