--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -19,7 +19,7 @@
 
 # Seconds that a node may be behind a peer. A pull takes a fraction of one;
 # the users ask for "within seconds".
-BEHIND_LIMIT = 3.0
+MAX_BEHIND_SECONDS = 3.0
 
 
 class PeerView(NamedTuple):
@@ -122,6 +122,6 @@
         # has the settling time to pull what this node knows.
         if log_up or any(p.revision >= view.revision for p in heard):
             self.vouched = now
-        if now - self.level > BEHIND_LIMIT:
+        if now - self.level > MAX_BEHIND_SECONDS:
             return False
         return now - self.vouched <= SETTLE_SECONDS
