--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -32,7 +32,7 @@
     """
 
     revision: int
-    heard: float
+    last_seen: float
 
 
 class View(NamedTuple):
@@ -83,7 +83,7 @@
         Returns:
             Whether the node knows the configuration well enough.
         """
-        heard = [p for p in view.peers if now - p.heard <= CUT_OFF_SECONDS]
+        heard = [p for p in view.peers if now - p.last_seen <= CUT_OFF_SECONDS]
         log_up = (
             view.log_heard is not None
             and now - view.log_heard <= CUT_OFF_SECONDS
