--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -49,7 +49,7 @@
 
     revision: int
     log_read: bool
-    log_heard: float | None
+    log_last_seen: float | None
     peers: tuple[PeerView, ...]
 
 
@@ -85,8 +85,8 @@
         """
         heard = [p for p in view.peers if now - p.last_seen <= CUT_OFF_SECONDS]
         log_up = (
-            view.log_heard is not None
-            and now - view.log_heard <= CUT_OFF_SECONDS
+            view.log_last_seen is not None
+            and now - view.log_last_seen <= CUT_OFF_SECONDS
         )
         if not heard:
             self.first_heard = None
