--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -70,7 +70,7 @@
         self.fresh = False
         self.settled = False
         self.first_heard: float | None = None
-        self.level = 0.0
+        self.up_to_date_at = 0.0
         self.vouched = 0.0
 
     def update(self, view: View, now: float) -> bool:
@@ -95,7 +95,7 @@
         highest = max((p.revision for p in heard), default=-1)
         level = view.revision >= highest and (view.log_read or not log_up)
         if level:
-            self.level = now
+            self.up_to_date_at = now
         if self.fresh:
             self.fresh = self.stays_fresh(view, heard, log_up, now)
         elif level and self.has_source(view, heard, log_up, now):
@@ -122,6 +122,6 @@
         # has the settling time to pull what this node knows.
         if log_up or any(p.revision >= view.revision for p in heard):
             self.vouched = now
-        if now - self.level > MAX_BEHIND_SECONDS:
+        if now - self.up_to_date_at > MAX_BEHIND_SECONDS:
             return False
         return now - self.vouched <= SETTLE_SECONDS
