--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -71,7 +71,7 @@
         self.settled = False
         self.first_heard: float | None = None
         self.up_to_date_at = 0.0
-        self.vouched = 0.0
+        self.confirmed_at = 0.0
 
     def update(self, view: View, now: float) -> bool:
         """Takes a look and decides.
@@ -101,7 +101,7 @@
         elif level and self.has_source(view, heard, log_up, now):
             self.fresh = True
             self.settled = True
-            self.vouched = now
+            self.confirmed_at = now
         return self.fresh
 
     def has_source(
@@ -121,7 +121,7 @@
         # A peer that knows less cannot tell of changes made meanwhile; it
         # has the settling time to pull what this node knows.
         if log_up or any(p.revision >= view.revision for p in heard):
-            self.vouched = now
+            self.confirmed_at = now
         if now - self.up_to_date_at > MAX_BEHIND_SECONDS:
             return False
-        return now - self.vouched <= SETTLE_SECONDS
+        return now - self.confirmed_at <= SETTLE_SECONDS
