--- a/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/freshness.py
@@ -69,7 +69,7 @@
     def __init__(self):
         self.fresh = False
         self.settled = False
-        self.first_heard: float | None = None
+        self.peers_seen_since: float | None = None
         self.up_to_date_at = 0.0
         self.confirmed_at = 0.0
 
@@ -89,9 +89,9 @@
             and now - view.log_last_seen <= CUT_OFF_SECONDS
         )
         if not heard:
-            self.first_heard = None
-        elif self.first_heard is None:
-            self.first_heard = now
+            self.peers_seen_since = None
+        elif self.peers_seen_since is None:
+            self.peers_seen_since = now
         highest = max((p.revision for p in heard), default=-1)
         level = view.revision >= highest and (view.log_read or not log_up)
         if level:
@@ -112,7 +112,7 @@
             return True
         if not any(peer.revision >= 0 for peer in heard):
             return False
-        return now - self.first_heard >= SETTLE_SECONDS
+        return now - self.peers_seen_since >= SETTLE_SECONDS
 
     def stays_fresh(
         self, view: View, heard: list[PeerView], log_up: bool, now: float
