--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -10,7 +10,7 @@
 
 # Weight of one end in the share of failures; three failures in a row move it
 # from none past the limit.
-WEIGHT = 0.25
+SMOOTHING = 0.25
 # Share of failures above which a replica is paused. Some services fail one
 # request in seven in ordinary use.
 LIMIT = 0.5
@@ -43,7 +43,7 @@
         """Notes an answer that its caller could use."""
         self.heard[replica] = now
         share = self.shares.get(replica, 0.0)
-        self.shares[replica] = share * (1 - WEIGHT)
+        self.shares[replica] = share * (1 - SMOOTHING)
         self.silent.pop(replica, None)
         self.pauses.pop(replica, None)
         self.until.pop(replica, None)
@@ -57,7 +57,7 @@
             now: The time.
         """
         share = self.shares.get(replica, 0.0)
-        self.shares[replica] = share + WEIGHT * (1 - share)
+        self.shares[replica] = share + SMOOTHING * (1 - share)
         if silent:
             self.silent[replica] = self.silent.get(replica, 0) + 1
         if self.silent.get(replica, 0) >= SILENT or share > LIMIT:
