--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -13,7 +13,7 @@
 SMOOTHING = 0.25
 # Share of failures above which a replica is paused. Some services fail one
 # request in seven in ordinary use.
-LIMIT = 0.5
+MAX_FAILURE_RATE = 0.5
 # Failures in a row without any byte of an answer that pause it at once.
 SILENT = 2
 # Seconds of the first pause, doubled by each further one.
@@ -60,7 +60,7 @@
         self.shares[replica] = share + SMOOTHING * (1 - share)
         if silent:
             self.silent[replica] = self.silent.get(replica, 0) + 1
-        if self.silent.get(replica, 0) >= SILENT or share > LIMIT:
+        if self.silent.get(replica, 0) >= SILENT or share > MAX_FAILURE_RATE:
             count = self.pauses.get(replica, 0)
             self.pauses[replica] = count + 1
             pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2**count)
