--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -15,7 +15,7 @@
 # request in seven in ordinary use.
 MAX_FAILURE_RATE = 0.5
 # Failures in a row without any byte of an answer that pause it at once.
-SILENT = 2
+MAX_SILENT_FAILURES = 2
 # Seconds of the first pause, doubled by each further one.
 FIRST_PAUSE = 0.7
 LONGEST_PAUSE = 5.0
@@ -60,7 +60,10 @@
         self.shares[replica] = share + SMOOTHING * (1 - share)
         if silent:
             self.silent[replica] = self.silent.get(replica, 0) + 1
-        if self.silent.get(replica, 0) >= SILENT or share > MAX_FAILURE_RATE:
+        if (
+            self.silent.get(replica, 0) >= MAX_SILENT_FAILURES
+            or share > MAX_FAILURE_RATE
+        ):
             count = self.pauses.get(replica, 0)
             self.pauses[replica] = count + 1
             pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2**count)
