--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -18,7 +18,7 @@
 MAX_SILENT_FAILURES = 2
 # Seconds of the first pause, doubled by each further one.
 FIRST_PAUSE_SECONDS = 0.7
-LONGEST_PAUSE = 5.0
+MAX_PAUSE_SECONDS = 5.0
 
 
 class Health:
@@ -66,7 +66,7 @@
         ):
             count = self.pauses.get(replica, 0)
             self.pauses[replica] = count + 1
-            pause = min(LONGEST_PAUSE, FIRST_PAUSE_SECONDS * 2**count)
+            pause = min(MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2**count)
             self.until[replica] = now + pause * self.rng.uniform(0.7, 1.0)
 
     def allowed(self, replica: str, now: float) -> bool:
