--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -33,7 +33,7 @@
 
     def __init__(self, rng: random.Random):
         self.rng = rng
-        self.shares: dict[str, float] = {}
+        self.failure_rates: dict[str, float] = {}
         self.silent: dict[str, int] = {}
         self.pauses: dict[str, int] = {}
         self.until: dict[str, float] = {}
@@ -42,8 +42,8 @@
     def succeeded(self, replica: str, now: float) -> None:
         """Notes an answer that its caller could use."""
         self.heard[replica] = now
-        share = self.shares.get(replica, 0.0)
-        self.shares[replica] = share * (1 - SMOOTHING)
+        share = self.failure_rates.get(replica, 0.0)
+        self.failure_rates[replica] = share * (1 - SMOOTHING)
         self.silent.pop(replica, None)
         self.pauses.pop(replica, None)
         self.until.pop(replica, None)
@@ -56,8 +56,8 @@
             silent: Whether nothing came from it, not even a refusal.
             now: The time.
         """
-        share = self.shares.get(replica, 0.0)
-        self.shares[replica] = share + SMOOTHING * (1 - share)
+        share = self.failure_rates.get(replica, 0.0)
+        self.failure_rates[replica] = share + SMOOTHING * (1 - share)
         if silent:
             self.silent[replica] = self.silent.get(replica, 0) + 1
         if (
@@ -76,7 +76,7 @@
     def forget(self, replica: str) -> None:
         """Drops a replica that is gone."""
         for table in (
-            self.shares,
+            self.failure_rates,
             self.silent,
             self.pauses,
             self.until,
