--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -34,7 +34,7 @@
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.failure_rates: dict[str, float] = {}
-        self.silent: dict[str, int] = {}
+        self.silent_failures: dict[str, int] = {}
         self.pauses: dict[str, int] = {}
         self.until: dict[str, float] = {}
         self.heard: dict[str, float] = {}
@@ -44,7 +44,7 @@
         self.heard[replica] = now
         share = self.failure_rates.get(replica, 0.0)
         self.failure_rates[replica] = share * (1 - SMOOTHING)
-        self.silent.pop(replica, None)
+        self.silent_failures.pop(replica, None)
         self.pauses.pop(replica, None)
         self.until.pop(replica, None)
 
@@ -59,9 +59,11 @@
         share = self.failure_rates.get(replica, 0.0)
         self.failure_rates[replica] = share + SMOOTHING * (1 - share)
         if silent:
-            self.silent[replica] = self.silent.get(replica, 0) + 1
+            self.silent_failures[replica] = (
+                self.silent_failures.get(replica, 0) + 1
+            )
         if (
-            self.silent.get(replica, 0) >= MAX_SILENT_FAILURES
+            self.silent_failures.get(replica, 0) >= MAX_SILENT_FAILURES
             or share > MAX_FAILURE_RATE
         ):
             count = self.pauses.get(replica, 0)
@@ -77,7 +79,7 @@
         """Drops a replica that is gone."""
         for table in (
             self.failure_rates,
-            self.silent,
+            self.silent_failures,
             self.pauses,
             self.until,
             self.heard,
