--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -36,7 +36,7 @@
         self.failure_rates: dict[str, float] = {}
         self.silent_failures: dict[str, int] = {}
         self.pauses: dict[str, int] = {}
-        self.until: dict[str, float] = {}
+        self.paused_until: dict[str, float] = {}
         self.heard: dict[str, float] = {}
 
     def succeeded(self, replica: str, now: float) -> None:
@@ -46,7 +46,7 @@
         self.failure_rates[replica] = share * (1 - SMOOTHING)
         self.silent_failures.pop(replica, None)
         self.pauses.pop(replica, None)
-        self.until.pop(replica, None)
+        self.paused_until.pop(replica, None)
 
     def failed(self, replica: str, silent: bool, now: float) -> None:
         """Notes a failure.
@@ -69,11 +69,13 @@
             count = self.pauses.get(replica, 0)
             self.pauses[replica] = count + 1
             pause = min(MAX_PAUSE_SECONDS, FIRST_PAUSE_SECONDS * 2**count)
-            self.until[replica] = now + pause * self.rng.uniform(0.7, 1.0)
+            self.paused_until[replica] = now + pause * self.rng.uniform(
+                0.7, 1.0
+            )
 
     def allowed(self, replica: str, now: float) -> bool:
         """Whether it may get work; after a pause one request tries it."""
-        return now >= self.until.get(replica, now)
+        return now >= self.paused_until.get(replica, now)
 
     def forget(self, replica: str) -> None:
         """Drops a replica that is gone."""
@@ -81,7 +83,7 @@
             self.failure_rates,
             self.silent_failures,
             self.pauses,
-            self.until,
+            self.paused_until,
             self.heard,
         ):
             table.pop(replica, None)
