--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -37,11 +37,11 @@
         self.silent_failures: dict[str, int] = {}
         self.pauses: dict[str, int] = {}
         self.paused_until: dict[str, float] = {}
-        self.heard: dict[str, float] = {}
+        self.last_success: dict[str, float] = {}
 
     def succeeded(self, replica: str, now: float) -> None:
         """Notes an answer that its caller could use."""
-        self.heard[replica] = now
+        self.last_success[replica] = now
         share = self.failure_rates.get(replica, 0.0)
         self.failure_rates[replica] = share * (1 - SMOOTHING)
         self.silent_failures.pop(replica, None)
@@ -84,6 +84,6 @@
             self.silent_failures,
             self.pauses,
             self.paused_until,
-            self.heard,
+            self.last_success,
         ):
             table.pop(replica, None)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -222,7 +222,9 @@
         task = asyncio.ensure_future(prefill)
         try:
             while True:
-                heard = self.directory.health.heard.get(choice.engine, started)
+                heard = self.directory.health.last_success.get(
+                    choice.engine, started
+                )
                 until = max(started, heard) + timeout
                 left = until - time.monotonic()
                 if left <= 0 or choice.engine in self.directory.suspects:
