--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -73,7 +73,7 @@
                 0.7, 1.0
             )
 
-    def allowed(self, replica: str, now: float) -> bool:
+    def is_allowed(self, replica: str, now: float) -> bool:
         """Whether it may get work; after a pause one request tries it."""
         return now >= self.paused_until.get(replica, now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -241,7 +241,7 @@
             return False
         if self.paused.get(instance, -math.inf) > now:
             return False
-        return self.health.allowed(instance, now)
+        return self.health.is_allowed(instance, now)
 
     def engines(
         self,
