--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -20,7 +20,7 @@
 SHARE = 1 / 3
 
 
-class Verdict(NamedTuple):
+class Decision(NamedTuple):
     """What to do with a request.
 
     Attributes:
@@ -34,7 +34,7 @@
 
 def judge(
     since: float, change: float, waits: float, left: float, now: float
-) -> Verdict:
+) -> Decision:
     """Says whether a request waits for an engine to come back.
 
     Args:
@@ -48,4 +48,4 @@
     retry_after = min(max(back, 0.2), max(0.0, left * SHARE))
     overdue = now > since + 2 * (NOTICED + change)
     hold = back + SERVICE < waits and not overdue
-    return Verdict(hold, retry_after)
+    return Decision(hold, retry_after)
