--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -225,7 +225,7 @@
 
 @behave.when("a request comes whose caller waits {waits:f} of {left:f} seconds")
 def step_judge(context, waits, left):
-    context.verdict = outages.judge(
+    context.verdict = outages.decide(
         100.0 - context.lost, context.change, waits, left, 100.0
     )
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -32,7 +32,7 @@
     retry_after: float
 
 
-def judge(
+def decide(
     since: float, change: float, waits: float, left: float, now: float
 ) -> Decision:
     """Says whether a request waits for an engine to come back.
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -198,7 +198,7 @@
                 return
             since = self.directory.generating.setdefault(service.name, now)
             age = now - progress.call.arrival
-            verdict = outages.judge(
+            verdict = outages.decide(
                 since,
                 service.switch_time,
                 route.waits(progress.time_left(), age),
