--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -33,7 +33,7 @@
 
 
 def decide(
-    since: float, change: float, waits: float, left: float, now: float
+    since: float, change: float, timeout: float, left: float, now: float
 ) -> Decision:
     """Says whether a request waits for an engine to come back.
 
@@ -47,5 +47,5 @@
     back = max(0.0, since + NOTICED + change - now)
     retry_after = min(max(back, 0.2), max(0.0, left * SHARE))
     overdue = now > since + 2 * (NOTICED + change)
-    hold = back + SERVICE < waits and not overdue
+    hold = back + SERVICE < timeout and not overdue
     return Decision(hold, retry_after)
