--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -11,7 +11,7 @@
 
 # Seconds from the loss of an engine to the order that replaces it: noticing
 # that it is silent, and the holder of authority's next look.
-NOTICED = 1.0
+DETECTION_SECONDS = 1.0
 # Seconds that the rest of a request takes once an engine is back: the prompt
 # and the first tokens, behind those that were held as well.
 SERVICE = 0.5
@@ -44,8 +44,8 @@
         left: Seconds until the request's deadline.
         now: The time.
     """
-    back = max(0.0, since + NOTICED + role_change - now)
+    back = max(0.0, since + DETECTION_SECONDS + role_change - now)
     retry_after = min(max(back, 0.2), max(0.0, left * SHARE))
-    overdue = now > since + 2 * (NOTICED + role_change)
+    overdue = now > since + 2 * (DETECTION_SECONDS + role_change)
     hold = back + SERVICE < timeout and not overdue
     return Decision(hold, retry_after)
