--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -14,7 +14,7 @@
 DETECTION_SECONDS = 1.0
 # Seconds that the rest of a request takes once an engine is back: the prompt
 # and the first tokens, behind those that were held as well.
-SERVICE = 0.5
+SERVICE_SECONDS = 0.5
 # Most of the time left that Retry-After may ask a caller to wait; callers
 # disregard more.
 SHARE = 1 / 3
@@ -47,5 +47,5 @@
     back = max(0.0, since + DETECTION_SECONDS + role_change - now)
     retry_after = min(max(back, 0.2), max(0.0, left * SHARE))
     overdue = now > since + 2 * (DETECTION_SECONDS + role_change)
-    hold = back + SERVICE < timeout and not overdue
+    hold = back + SERVICE_SECONDS < timeout and not overdue
     return Decision(hold, retry_after)
