--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -17,7 +17,7 @@
 SERVICE_SECONDS = 0.5
 # Most of the time left that Retry-After may ask a caller to wait; callers
 # disregard more.
-SHARE = 1 / 3
+RETRY_AFTER_FRACTION = 1 / 3
 
 
 class Decision(NamedTuple):
@@ -45,7 +45,7 @@
         now: The time.
     """
     back = max(0.0, since + DETECTION_SECONDS + role_change - now)
-    retry_after = min(max(back, 0.2), max(0.0, left * SHARE))
+    retry_after = min(max(back, 0.2), max(0.0, left * RETRY_AFTER_FRACTION))
     overdue = now > since + 2 * (DETECTION_SECONDS + role_change)
     hold = back + SERVICE_SECONDS < timeout and not overdue
     return Decision(hold, retry_after)
