--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -13,7 +13,7 @@
 
 # Times the peers' median before a replica counts as slow; batches of mixed
 # lengths differ by less than this (bench/, slow endpoint).
-SLOW = 2.0
+SLOW_RATIO = 2.0
 # The least share of work that a slow replica keeps, so that its recovery is
 # noticed.
 LEAST_WEIGHT = 0.1
@@ -125,7 +125,7 @@
         middle = len(peers) // 2
         median = (peers[middle] + peers[-1 - middle]) / 2
         median = max(1e-6, median)
-        if ratio <= SLOW * median:
+        if ratio <= SLOW_RATIO * median:
             return 1.0
         return max(LEAST_WEIGHT, median / ratio)
 
