--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -16,7 +16,7 @@
 SLOW_RATIO = 2.0
 # The least share of work that a slow replica keeps, so that its recovery is
 # noticed.
-LEAST_WEIGHT = 0.1
+MIN_WEIGHT = 0.1
 # Weight of one observation: five slow answers move it past `SLOW`.
 SMOOTHING = 0.25
 # Failures in a row before a replica gets probes alone; one or two happen
@@ -127,7 +127,7 @@
         median = max(1e-6, median)
         if ratio <= SLOW_RATIO * median:
             return 1.0
-        return max(LEAST_WEIGHT, median / ratio)
+        return max(MIN_WEIGHT, median / ratio)
 
     def ratio(self, replica: str) -> float:
         """The worse of what ended and of what is overdue."""
