--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -21,7 +21,7 @@
 SMOOTHING = 0.25
 # Failures in a row before a replica gets probes alone; one or two happen
 # whenever a connection is cut.
-FAILURES = 3
+FAILURES_BEFORE_PAUSE = 3
 # Seconds until the first probe; doubled by every failed one.
 FIRST_PAUSE = 2.0
 LONGEST_PAUSE = 30.0
@@ -100,9 +100,11 @@
         """Counts a failure and pauses the replica after a few."""
         count = self.failures.get(replica, 0) + 1
         self.failures[replica] = count
-        if count < FAILURES:
+        if count < FAILURES_BEFORE_PAUSE:
             return
-        pause = min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** (count - FAILURES))
+        pause = min(
+            LONGEST_PAUSE, FIRST_PAUSE * 2 ** (count - FAILURES_BEFORE_PAUSE)
+        )
         self.paused[replica] = now + pause * self.rng.uniform(0.5, 1.0)
 
     def overdue(self, replica: str, ratio: float) -> None:
