--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -24,7 +24,7 @@
 FAILURES_BEFORE_PAUSE = 3
 # Seconds until the first probe; doubled by every failed one.
 FIRST_PAUSE_SECONDS = 2.0
-LONGEST_PAUSE = 30.0
+MAX_PAUSE_SECONDS = 30.0
 # Share of the replicas that may be paused at once: when all look bad the
 # cause lies elsewhere, and sending nothing would make an outage of it.
 MOST_PAUSED = 0.5
@@ -103,7 +103,7 @@
         if count < FAILURES_BEFORE_PAUSE:
             return
         pause = min(
-            LONGEST_PAUSE,
+            MAX_PAUSE_SECONDS,
             FIRST_PAUSE_SECONDS * 2 ** (count - FAILURES_BEFORE_PAUSE),
         )
         self.paused[replica] = now + pause * self.rng.uniform(0.5, 1.0)
