--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -27,7 +27,7 @@
 MAX_PAUSE_SECONDS = 30.0
 # Share of the replicas that may be paused at once: when all look bad the
 # cause lies elsewhere, and sending nothing would make an outage of it.
-MOST_PAUSED = 0.5
+MAX_PAUSED_FRACTION = 0.5
 
 
 class Outliers(Protocol):
@@ -143,7 +143,7 @@
         if until is None:
             return True
         seen = len(self.ratios.keys() | self.paused.keys())
-        if len(self.paused) > max(1.0, MOST_PAUSED * seen):
+        if len(self.paused) > max(1.0, MAX_PAUSED_FRACTION * seen):
             return True
         return now >= until and own == 0
 
