--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -58,7 +58,7 @@
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.ratios: dict[str, float] = {}
-        self.late: dict[str, float] = {}
+        self.overdue_ratios: dict[str, float] = {}
         self.ordered: list[float] | None = None
         self.failures: dict[str, int] = {}
         self.paused: dict[str, float] = {}
@@ -110,8 +110,8 @@
 
     def overdue(self, replica: str, ratio: float) -> None:
         """Notes how late the work there is: age over expected time."""
-        if self.late.get(replica) != ratio:
-            self.late[replica] = ratio
+        if self.overdue_ratios.get(replica) != ratio:
+            self.overdue_ratios[replica] = ratio
             self.ordered = None
 
     def weight(self, replica: str) -> float:
@@ -134,7 +134,7 @@
 
     def ratio(self, replica: str) -> float:
         """The worse of what ended and of what is overdue."""
-        late = self.late.get(replica, 0.0)
+        late = self.overdue_ratios.get(replica, 0.0)
         return max(self.ratios.get(replica, 0.0), late)
 
     def allowed(self, replica: str, own: int, now: float) -> bool:
