--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -61,7 +61,7 @@
         self.overdue_ratios: dict[str, float] = {}
         self.ordered: list[float] | None = None
         self.failures: dict[str, int] = {}
-        self.paused: dict[str, float] = {}
+        self.paused_until: dict[str, float] = {}
 
     def observe(
         self, replica: str, result: types.Result, expected: float, now: float
@@ -75,7 +75,7 @@
             self.failed(replica, now)
             return
         self.failures.pop(replica, None)
-        self.paused.pop(replica, None)
+        self.paused_until.pop(replica, None)
         if expected <= 0:
             return
         ratio = result.seconds / expected
@@ -106,7 +106,7 @@
             MAX_PAUSE_SECONDS,
             FIRST_PAUSE_SECONDS * 2 ** (count - FAILURES_BEFORE_PAUSE),
         )
-        self.paused[replica] = now + pause * self.rng.uniform(0.5, 1.0)
+        self.paused_until[replica] = now + pause * self.rng.uniform(0.5, 1.0)
 
     def overdue(self, replica: str, ratio: float) -> None:
         """Notes how late the work there is: age over expected time."""
@@ -139,11 +139,11 @@
 
     def allowed(self, replica: str, own: int, now: float) -> bool:
         """Whether it may get work, or a probe, with so much there."""
-        until = self.paused.get(replica)
+        until = self.paused_until.get(replica)
         if until is None:
             return True
-        seen = len(self.ratios.keys() | self.paused.keys())
-        if len(self.paused) > max(1.0, MAX_PAUSED_FRACTION * seen):
+        seen = len(self.ratios.keys() | self.paused_until.keys())
+        if len(self.paused_until) > max(1.0, MAX_PAUSED_FRACTION * seen):
             return True
         return now >= until and own == 0
 
