--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -59,7 +59,7 @@
         self.rng = rng
         self.ratios: dict[str, float] = {}
         self.overdue_ratios: dict[str, float] = {}
-        self.ordered: list[float] | None = None
+        self.sorted_ratios: list[float] | None = None
         self.failures: dict[str, int] = {}
         self.paused_until: dict[str, float] = {}
 
@@ -67,7 +67,7 @@
         self, replica: str, result: types.Result, expected: float, now: float
     ) -> None:
         """Learns from the end of a dispatch that should take so long."""
-        self.ordered = None
+        self.sorted_ratios = None
         if result.finish == types.Finish.CANCELLED:
             self.cancelled(replica, result, expected)
             return
@@ -112,14 +112,16 @@
         """Notes how late the work there is: age over expected time."""
         if self.overdue_ratios.get(replica) != ratio:
             self.overdue_ratios[replica] = ratio
-            self.ordered = None
+            self.sorted_ratios = None
 
     def weight(self, replica: str) -> float:
         """Share of its usual work that it should get, above 0 up to 1."""
         ratio = self.ratio(replica)
-        if self.ordered is None:
-            self.ordered = sorted(self.ratio(name) for name in self.ratios)
-        peers = self.ordered
+        if self.sorted_ratios is None:
+            self.sorted_ratios = sorted(
+                self.ratio(name) for name in self.ratios
+            )
+        peers = self.sorted_ratios
         if replica in self.ratios:
             own = bisect.bisect_left(peers, ratio)
             peers = peers[:own] + peers[own + 1 :]
