--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -8,7 +8,7 @@
 """
 
 # Calls a second of all nodes together, as long as each reads often enough.
-SITE_RATE = 10.0
+SITE_CALLS_PER_SECOND = 10.0
 # Seconds between two reads of a node at the least: a replica that goes is
 # passed over that much sooner, and six nodes stay at the rate of the site.
 SHORTEST = 0.6
@@ -51,4 +51,4 @@
         bound: Seconds after which what was written must be known.
     """
     longest = SHARE * bound
-    return min(longest, max(SHORTEST, nodes / SITE_RATE))
+    return min(longest, max(SHORTEST, nodes / SITE_CALLS_PER_SECOND))
