--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -11,7 +11,7 @@
 SITE_CALLS_PER_SECOND = 10.0
 # Seconds between two reads of a node at the least: a replica that goes is
 # passed over that much sooner, and six nodes stay at the rate of the site.
-SHORTEST = 0.6
+MIN_INTERVAL_SECONDS = 0.6
 # Share of the time within which a leaving replica must get no more work; the
 # rest is for the store's answer, a repeat of the call and requests under way.
 SHARE = 0.5
@@ -51,4 +51,6 @@
         bound: Seconds after which what was written must be known.
     """
     longest = SHARE * bound
-    return min(longest, max(SHORTEST, nodes / SITE_CALLS_PER_SECOND))
+    return min(
+        longest, max(MIN_INTERVAL_SECONDS, nodes / SITE_CALLS_PER_SECOND)
+    )
