--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -14,7 +14,7 @@
 MIN_INTERVAL_SECONDS = 0.6
 # Share of the time within which a leaving replica must get no more work; the
 # rest is for the store's answer, a repeat of the call and requests under way.
-SHARE = 0.5
+MAX_INTERVAL_FRACTION = 0.5
 # Seconds before the first try after a failed call, and before each at most; as
 # much again at random for the first, so that nodes do not come back together.
 # A node has three seconds to be in touch again once the store is back.
@@ -50,7 +50,7 @@
         nodes: The nodes that read.
         bound: Seconds after which what was written must be known.
     """
-    longest = SHARE * bound
+    longest = MAX_INTERVAL_FRACTION * bound
     return min(
         longest, max(MIN_INTERVAL_SECONDS, nodes / SITE_CALLS_PER_SECOND)
     )
