--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -18,11 +18,11 @@
 # Seconds before the first try after a failed call, and before each at most; as
 # much again at random for the first, so that nodes do not come back together.
 # A node has three seconds to be in touch again once the store is back.
-FIRST_RETRY = 0.15
+FIRST_RETRY_SECONDS = 0.15
 LONGEST_RETRY = 1.0
 # Seconds before the repeat of the first failed call, at the most, where that
 # call was given up.
-LONGEST_REPEAT = FIRST_RETRY
+LONGEST_REPEAT = FIRST_RETRY_SECONDS
 
 
 def retry(failures: int, chance: float, took: float = 0.0) -> float:
@@ -38,9 +38,9 @@
         chance: From 0 to 1, evenly spread.
         took: Seconds that the failed call took.
     """
-    pause = FIRST_RETRY * 2 ** min(failures - 1, 4) * (1 + chance)
+    pause = FIRST_RETRY_SECONDS * 2 ** min(failures - 1, 4) * (1 + chance)
     pause = min(pause, LONGEST_RETRY * (1 + chance) / 2)
-    return max(pause - took, FIRST_RETRY * (1 + chance) / 2)
+    return max(pause - took, FIRST_RETRY_SECONDS * (1 + chance) / 2)
 
 
 def pause(nodes: int, bound: float) -> float:
