--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -19,7 +19,7 @@
 # much again at random for the first, so that nodes do not come back together.
 # A node has three seconds to be in touch again once the store is back.
 FIRST_RETRY_SECONDS = 0.15
-LONGEST_RETRY = 1.0
+MAX_RETRY_SECONDS = 1.0
 # Seconds before the repeat of the first failed call, at the most, where that
 # call was given up.
 LONGEST_REPEAT = FIRST_RETRY_SECONDS
@@ -39,7 +39,7 @@
         took: Seconds that the failed call took.
     """
     pause = FIRST_RETRY_SECONDS * 2 ** min(failures - 1, 4) * (1 + chance)
-    pause = min(pause, LONGEST_RETRY * (1 + chance) / 2)
+    pause = min(pause, MAX_RETRY_SECONDS * (1 + chance) / 2)
     return max(pause - took, FIRST_RETRY_SECONDS * (1 + chance) / 2)
 
 
