--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -22,7 +22,7 @@
 MAX_RETRY_SECONDS = 1.0
 # Seconds before the repeat of the first failed call, at the most, where that
 # call was given up.
-LONGEST_REPEAT = FIRST_RETRY_SECONDS
+MAX_REPEAT_SECONDS = FIRST_RETRY_SECONDS
 
 
 def retry(failures: int, chance: float, took: float = 0.0) -> float:
--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -57,7 +57,7 @@
     """
     answer = min(LONGEST_ANSWER, ANSWER_SHARE * contact)
     reserve = RESERVE_SHARE * contact
-    repeat = polling.LONGEST_REPEAT + answer + reserve
+    repeat = polling.MAX_REPEAT_SECONDS + answer + reserve
     return Limits(
         wait=max(0.0, contact - answer - repeat),
         answer=answer,
