--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -417,15 +417,15 @@
     "{long:f} seconds"
 )
 def step_pauses(context, few, short, many, long):
-    assert polling.pause(few, context.bound) == short
-    assert polling.pause(many, context.bound) == long
+    assert polling.poll_interval(few, context.bound) == short
+    assert polling.poll_interval(many, context.bound) == long
 
 
 @behave.then(
     "with {bound:d} seconds {many:d} nodes read every {long:f} seconds"
 )
 def step_pause(context, bound, many, long):
-    assert polling.pause(many, bound) == long
+    assert polling.poll_interval(many, bound) == long
 
 
 @behave.given("a store that refuses for {seconds:d} seconds")
--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -43,7 +43,7 @@
     return max(pause - took, FIRST_RETRY_SECONDS * (1 + chance) / 2)
 
 
-def pause(nodes: int, bound: float) -> float:
+def poll_interval(nodes: int, bound: float) -> float:
     """Seconds between two reads of one node.
 
     Args:
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -238,7 +238,7 @@
         watch = self.watches["registrations"]
         if not self.gossip.meshed and not watch.flowing:
             return 0.0
-        return polling.pause(
+        return polling.poll_interval(
             self.gossip.readers(), self.settings.replicas.leaving_ms / 1000
         )
 
