--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -435,7 +435,7 @@
         rng = random.Random(seed)
         pauses = []
         while sum(pauses) < seconds:
-            pauses.append(polling.retry(len(pauses) + 1, rng.random()))
+            pauses.append(polling.retry_delay(len(pauses) + 1, rng.random()))
         context.tries.append(pauses)
 
 
--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -192,7 +192,7 @@
         wait = reads.wait_after(pause, 100.0, bounds)
         for chance in (0.0, 0.5, 1.0):
             took = wait + bounds.answer
-            retry = polling.retry(1, chance, took)
+            retry = polling.retry_delay(1, chance, took)
             lateness = pause + took + retry + bounds.answer
             assert lateness <= contact, (pause, wait, chance, lateness)
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/polling.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/polling.py
@@ -25,7 +25,7 @@
 MAX_REPEAT_SECONDS = FIRST_RETRY_SECONDS
 
 
-def retry(failures: int, chance: float, took: float = 0.0) -> float:
+def retry_delay(failures: int, chance: float, took: float = 0.0) -> float:
     """Seconds until a failed call is made again.
 
     A store that refuses a third of 73 nodes for 9 s got four calls a second
--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -111,7 +111,7 @@
                     failures=failures,
                     reason=str(error),
                 )
-            await asyncio.sleep(polling.retry(failures, random.random()))
+            await asyncio.sleep(polling.retry_delay(failures, random.random()))
 
     async def read_all(self) -> None:
         """Reads all records once."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -157,7 +157,7 @@
                 self.failures += 1
                 took = self.failed(error)
                 await asyncio.sleep(
-                    polling.retry(self.failures, random.random(), took)
+                    polling.retry_delay(self.failures, random.random(), took)
                 )
 
     def failed(self, error: exceptions.PlatformError) -> float:
