--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -16,7 +16,7 @@
 
 # Share of the contact bound that a store may take to answer, and the most
 # seconds that is ever waited for.
-ANSWER_SHARE = 0.25
+ANSWER_FRACTION = 0.25
 MAX_ANSWER_SECONDS = 0.8
 # Share of the contact bound that is left for a busy processor and late timers.
 RESERVE_SHARE = 0.1
@@ -55,7 +55,7 @@
         contact: Seconds of undisturbed contact after which a node must act on
             all that the store says.
     """
-    answer = min(MAX_ANSWER_SECONDS, ANSWER_SHARE * contact)
+    answer = min(MAX_ANSWER_SECONDS, ANSWER_FRACTION * contact)
     reserve = RESERVE_SHARE * contact
     repeat = polling.MAX_REPEAT_SECONDS + answer + reserve
     return Limits(
