--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -19,7 +19,7 @@
 ANSWER_FRACTION = 0.25
 MAX_ANSWER_SECONDS = 0.8
 # Share of the contact bound that is left for a busy processor and late timers.
-RESERVE_SHARE = 0.1
+RESERVE_FRACTION = 0.1
 # Share of the contact bound after which a read that waits while another node
 # has a newer version is given up: answers to different nodes differ by less.
 OVERDUE_SHARE = 0.1
@@ -56,7 +56,7 @@
             all that the store says.
     """
     answer = min(MAX_ANSWER_SECONDS, ANSWER_FRACTION * contact)
-    reserve = RESERVE_SHARE * contact
+    reserve = RESERVE_FRACTION * contact
     repeat = polling.MAX_REPEAT_SECONDS + answer + reserve
     return Limits(
         wait=max(0.0, contact - answer - repeat),
