--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -22,7 +22,7 @@
 RESERVE_FRACTION = 0.1
 # Share of the contact bound after which a read that waits while another node
 # has a newer version is given up: answers to different nodes differ by less.
-OVERDUE_SHARE = 0.1
+OVERDUE_FRACTION = 0.1
 # Share of the contact bound after which another node is asked for a version
 # that it has. The store goes first, as a large configuration takes a relay's
 # link longer than the store's.
@@ -61,7 +61,7 @@
     return Limits(
         wait=max(0.0, contact - answer - repeat),
         answer=answer,
-        overdue=OVERDUE_SHARE * contact,
+        overdue=OVERDUE_FRACTION * contact,
         ask=ASK_SHARE * contact,
         age=max(0.0, contact - repeat),
     )
