--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -26,7 +26,7 @@
 # Share of the contact bound after which another node is asked for a version
 # that it has. The store goes first, as a large configuration takes a relay's
 # link longer than the store's.
-ASK_SHARE = 0.2
+ASK_FRACTION = 0.2
 
 
 class Limits(NamedTuple):
@@ -62,7 +62,7 @@
         wait=max(0.0, contact - answer - repeat),
         answer=answer,
         overdue=OVERDUE_FRACTION * contact,
-        ask=ASK_SHARE * contact,
+        ask=ASK_FRACTION * contact,
         age=max(0.0, contact - repeat),
     )
 
