--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -29,7 +29,7 @@
 ASK_FRACTION = 0.2
 
 
-class Limits(NamedTuple):
+class ReadTimeouts(NamedTuple):
     """Seconds by which reads of the store are bounded.
 
     Attributes:
@@ -48,7 +48,7 @@
     age: float
 
 
-def limits(contact: float) -> Limits:
+def limits(contact: float) -> ReadTimeouts:
     """Derives all limits from the site's contact bound.
 
     Args:
@@ -58,7 +58,7 @@
     answer = min(MAX_ANSWER_SECONDS, ANSWER_FRACTION * contact)
     reserve = RESERVE_FRACTION * contact
     repeat = polling.MAX_REPEAT_SECONDS + answer + reserve
-    return Limits(
+    return ReadTimeouts(
         wait=max(0.0, contact - answer - repeat),
         answer=answer,
         overdue=OVERDUE_FRACTION * contact,
@@ -67,7 +67,7 @@
     )
 
 
-def wait_after(pause: float, longest: float, bounds: Limits) -> float:
+def wait_after(pause: float, longest: float, bounds: ReadTimeouts) -> float:
     """Seconds that a read waits which begins after a pause.
 
     Its connection may have gone silent at any moment of the pause.
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -46,7 +46,7 @@
         configuration_watch: watching.Watch,
         reads: Callable[[], bool],
         questions: questions_module.Questions,
-        limits: reads_module.Limits,
+        limits: reads_module.ReadTimeouts,
     ):
         self.limits = limits
         self.registrations = registrations
