--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -186,7 +186,7 @@
     "which its connection falls silent"
 )
 def step_bound(context, longest, contact):
-    bounds = reads.limits(contact)
+    bounds = reads.derive(contact)
     for step in range(int(longest * 20) + 1):
         pause = min(step / 20, bounds.wait)
         wait = reads.wait_after(pause, 100.0, bounds)
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -383,7 +383,7 @@
         *watches,
         reads,
         mock.Mock(),
-        reads_module.limits(contact=3.0),
+        reads_module.derive(contact=3.0),
     )
 
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -48,7 +48,7 @@
     age: float
 
 
-def limits(contact: float) -> ReadTimeouts:
+def derive(contact: float) -> ReadTimeouts:
     """Derives all limits from the site's contact bound.
 
     Args:
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -88,7 +88,7 @@
         self.store = store_module.Store(settings.store.address)
         self.logged_calls: collections.Counter[str] = collections.Counter()
         self.logged_bytes: collections.Counter[str] = collections.Counter()
-        self.limits = reads.limits(settings.store.contact_ms / 1000)
+        self.limits = reads.derive(settings.store.contact_ms / 1000)
         self.store_state = watching.StoreState(settings.store.contact_ms / 1000)
         rng = random.Random()
         self.directory = directory_module.Directory(rng)
