--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -43,7 +43,7 @@
 
     wait: float
     answer: float
-    overdue: float
+    overdue_after: float
     ask: float
     age: float
 
@@ -61,7 +61,7 @@
     return ReadTimeouts(
         wait=max(0.0, contact - answer - repeat),
         answer=answer,
-        overdue=OVERDUE_FRACTION * contact,
+        overdue_after=OVERDUE_FRACTION * contact,
         ask=ASK_FRACTION * contact,
         age=max(0.0, contact - repeat),
     )
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -176,7 +176,7 @@
             self.ahead = address
             self.configuration_watch.wake.set()
             self.configuration_watch.overdue(
-                self.configurations.announced_at, self.limits.overdue
+                self.configurations.announced_at, self.limits.overdue_after
             )
             self.news.set()
         elif version == knowledge.version:
