--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -44,7 +44,7 @@
     wait: float
     answer: float
     overdue_after: float
-    ask: float
+    ask_after: float
     age: float
 
 
@@ -62,7 +62,7 @@
         wait=max(0.0, contact - answer - repeat),
         answer=answer,
         overdue_after=OVERDUE_FRACTION * contact,
-        ask=ASK_FRACTION * contact,
+        ask_after=ASK_FRACTION * contact,
         age=max(0.0, contact - repeat),
     )
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -214,7 +214,7 @@
         if self.ahead is None or not self.behind():
             return
         failed = self.configuration_watch.failures > 0
-        if not failed and self.configurations.behind() < self.limits.ask:
+        if not failed and self.configurations.behind() < self.limits.ask_after:
             return
         record = await self.questions.ask(
             self.ahead, questions_module.CONFIGURATION
