--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -45,7 +45,7 @@
     answer: float
     overdue_after: float
     ask_after: float
-    age: float
+    max_age: float
 
 
 def derive(contact: float) -> ReadTimeouts:
@@ -63,7 +63,7 @@
         answer=answer,
         overdue_after=OVERDUE_FRACTION * contact,
         ask_after=ASK_FRACTION * contact,
-        age=max(0.0, contact - repeat),
+        max_age=max(0.0, contact - repeat),
     )
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -94,7 +94,7 @@
             return True
         now = clocks.now()
         age = watch.following.age(now)
-        if age > self.limits.age:
+        if age > self.limits.max_age:
             return True
         longest = following.MAX_AGE_FRACTION * watch.following.bound
         return now - self.registrations_watch.alone_at < longest < age
