--- a/packages/gypsumfold/src/gypsumfold/decisions/reads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/reads.py
@@ -67,7 +67,7 @@
     )
 
 
-def wait_after(pause: float, longest: float, bounds: ReadTimeouts) -> float:
+def wait_after(pause: float, longest: float, timeouts: ReadTimeouts) -> float:
     """Seconds that a read waits which begins after a pause.
 
     Its connection may have gone silent at any moment of the pause.
@@ -77,4 +77,4 @@
         longest: Seconds that it would wait otherwise.
         bounds: As of `limits`.
     """
-    return max(0.0, min(longest, bounds.wait - pause))
+    return max(0.0, min(longest, timeouts.wait - pause))
