--- a/packages/gypsumfold/src/gypsumfold/decisions/registry.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/registry.py
@@ -15,7 +15,7 @@
 
 # Seconds for which a change is told again with each message: three or four
 # times, so that one lost datagram in forty does not matter.
-REPEATED = 0.35
+REPEAT_SECONDS = 0.35
 # Removed keys that are remembered, so that an older record does not bring
 # them back; a site loses fewer replicas in a day.
 MOST_REMOVED = 4096
@@ -105,7 +105,7 @@
 
     def changes(self, now: float) -> list[Change]:
         """What changed lately, for those who follow."""
-        while self.recent and now - self.recent[0][0] > REPEATED:
+        while self.recent and now - self.recent[0][0] > REPEAT_SECONDS:
             self.recent.popleft()
         return [change for _, change in self.recent]
 
