--- a/packages/gypsumfold/src/gypsumfold/decisions/registry.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/registry.py
@@ -18,7 +18,7 @@
 REPEAT_SECONDS = 0.35
 # Removed keys that are remembered, so that an older record does not bring
 # them back; a site loses fewer replicas in a day.
-MOST_REMOVED = 4096
+MAX_REMOVED = 4096
 
 
 class Change(NamedTuple):
@@ -87,7 +87,7 @@
         """Remembers since when a key is gone."""
         self.removed[change.key] = change.offset
         self.removed.move_to_end(change.key)
-        while len(self.removed) > MOST_REMOVED:
+        while len(self.removed) > MAX_REMOVED:
             self.removed.popitem(last=False)
 
     def missing(self, present: set[str], offset: int) -> list[Change]:
