--- a/packages/gypsumfold/src/gypsumfold/decisions/registry.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/registry.py
@@ -55,7 +55,7 @@
             collections.deque()
         )
 
-    def stale(self, key: str, offset: int) -> bool:
+    def is_stale(self, key: str, offset: int) -> bool:
         """Whether a later record of the key is known already."""
         if key in self.values:
             return offset < self.values[key][0]
@@ -67,7 +67,7 @@
         Returns:
             Whether the key has another value than before.
         """
-        if self.stale(change.key, change.offset):
+        if self.is_stale(change.key, change.offset):
             return False
         before = self.values.pop(change.key, (0, b""))[1]
         if change.value:
--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -79,7 +79,7 @@
         """Puts records into the registry and the directory."""
         now = clocks.now()
         for record in records:
-            if self.registry.stale(record.key, record.offset):
+            if self.registry.is_stale(record.key, record.offset):
                 continue
             if not record.value:
                 self.registry.put(
