--- a/packages/gypsumfold/src/gypsumfold/decisions/registry.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/registry.py
@@ -74,7 +74,7 @@
             self.values[change.key] = (change.offset, change.value)
             self.removed.pop(change.key, None)
         else:
-            self.note_removed(change)
+            self.record_removed(change)
         if before == change.value:
             return False
         for value in (before, change.value):
@@ -83,7 +83,7 @@
         self.recent.append((now, change))
         return True
 
-    def note_removed(self, change: Change) -> None:
+    def record_removed(self, change: Change) -> None:
         """Remembers since when a key is gone."""
         self.removed[change.key] = change.offset
         self.removed.move_to_end(change.key)
