--- a/features/steps/crash_log_steps.py
+++ b/features/steps/crash_log_steps.py
@@ -75,7 +75,7 @@
 
 def judged(context):
     """What may be done with the request now."""
-    return context.log.verdict(REQUEST, context.now)
+    return context.log.decide(REQUEST, context.now)
 
 
 @behave.then("it is in quarantine for {seconds:d} seconds")
@@ -139,7 +139,7 @@
     for crash in context.log.crashes.values():
         assert len(crash.requests) <= requests
     assert len(context.log.suspected) <= crashes * requests
-    assert len(context.log.news) <= crashes * requests
+    assert len(context.log.pending_sends) <= crashes * requests
 
 
 @behave.when(
--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -202,5 +202,5 @@
     valuable = [tokens for tokens in named.values() if tokens == context.shared]
     assert len(valuable) == few, valuable
     assert len(named) - few <= most, len(named)
-    debt = -context.bandwidth.left(0.0) / context.bandwidth.rate
+    debt = -context.bandwidth.available(0.0) / context.bandwidth.rate
     assert debt < milliseconds / 1000, debt
--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -261,7 +261,7 @@
     for number in range(rate * seconds):
         now = number / rate
         budget = context.budgets[number % len(context.budgets)]
-        budget.requested("seats", now)
+        budget.record_request("seats", now)
         for _ in range(3):
             if budget.allow("seats", now):
                 context.repeats.append(now)
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -342,8 +342,8 @@
     "old is not"
 )
 def step_ages(context, young, old):
-    assert not context.following.doubtful(100.0 + young)
-    assert context.following.doubtful(100.0 + old)
+    assert not context.following.is_stale(100.0 + young)
+    assert context.following.is_stale(100.0 + old)
 
 
 @behave.then(
@@ -351,12 +351,12 @@
     "{long:g}"
 )
 def step_differs(context, short, long):
-    context.following.differs(100.0)
-    context.following.differs(100.1)
-    assert not context.following.doubtful(100.0 + short)
-    assert context.following.doubtful(100.0 + long)
-    context.following.confirmed(100.2)
-    assert not context.following.doubtful(100.0 + long)
+    context.following.record_difference(100.0)
+    context.following.record_difference(100.1)
+    assert not context.following.is_stale(100.0 + short)
+    assert context.following.is_stale(100.0 + long)
+    context.following.confirm(100.2)
+    assert not context.following.is_stale(100.0 + long)
 
 
 def relay_knowledge(reads=lambda: True):
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -161,7 +161,7 @@
         "role": ENGINE in directory.confirmed,
         "closed": directory.changing.get(ENGINE, -math.inf) > now,
         "paused": directory.paused.get(ENGINE, -math.inf) > now,
-        "failing": not directory.health.allowed(ENGINE, now),
+        "failing": not directory.health.is_allowed(ENGINE, now),
         "streams": directory.streams.total(ENGINE, now) > 0,
         "silent": ENGINE in directory.suspects,
         "owing": ENGINE in directory.silence.since,
