--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -20,7 +20,7 @@
 # Seconds of silence after which the relay is taken to be gone: it sends ten
 # times a second, and a link that loses one datagram in forty loses six in a
 # row once in years.
-RELAY_SILENCE = 0.6
+RELAY_SILENCE_SECONDS = 0.6
 # Seconds of silence for one that stands by and sends once a second.
 STANDBY_SILENCE = 2.5
 # Seconds within which a node that is asked to relay must answer: datagrams
@@ -117,7 +117,7 @@
     def answering(self, member: members_module.Member, now: float) -> bool:
         """Whether a node was heard lately as a relay."""
         if self.relay is not None and member.name == self.relay.name:
-            limit = RELAY_SILENCE
+            limit = RELAY_SILENCE_SECONDS
         else:
             limit = STANDBY_SILENCE
         return now - self.answers.get(member.name, -math.inf) <= limit
@@ -134,7 +134,7 @@
             if name in self.answers:
                 limit = STANDBY_SILENCE
             if self.relay is not None and name == self.relay.name:
-                limit = RELAY_SILENCE
+                limit = RELAY_SILENCE_SECONDS
             if now - max(asked, self.answers.get(name, asked)) > limit:
                 self.pause(name, now)
 
