--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -22,7 +22,7 @@
 # row once in years.
 RELAY_SILENCE_SECONDS = 0.6
 # Seconds of silence for one that stands by and sends once a second.
-STANDBY_SILENCE = 2.5
+STANDBY_SILENCE_SECONDS = 2.5
 # Seconds within which a node that is asked to relay must answer: datagrams
 # take 2 to 6 ms, and a node that starts is busy for 0.4 s.
 ANSWER = 0.5
@@ -119,7 +119,7 @@
         if self.relay is not None and member.name == self.relay.name:
             limit = RELAY_SILENCE_SECONDS
         else:
-            limit = STANDBY_SILENCE
+            limit = STANDBY_SILENCE_SECONDS
         return now - self.answers.get(member.name, -math.inf) <= limit
 
     def paused(self, member: members_module.Member, now: float) -> bool:
@@ -132,7 +132,7 @@
         for name, asked in list(self.questions.items()):
             limit = ANSWER
             if name in self.answers:
-                limit = STANDBY_SILENCE
+                limit = STANDBY_SILENCE_SECONDS
             if self.relay is not None and name == self.relay.name:
                 limit = RELAY_SILENCE_SECONDS
             if now - max(asked, self.answers.get(name, asked)) > limit:
