--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -25,7 +25,7 @@
 STANDBY_SILENCE_SECONDS = 2.5
 # Seconds within which a node that is asked to relay must answer: datagrams
 # take 2 to 6 ms, and a node that starts is busy for 0.4 s.
-ANSWER = 0.5
+ANSWER_SECONDS = 0.5
 # Seconds for which a node that does not answer is not asked again, doubled
 # with each time up to the longest.
 FIRST_PAUSE = 1.0
@@ -130,7 +130,7 @@
     def give_up(self, now: float) -> None:
         """Pauses the nodes that did not answer in time."""
         for name, asked in list(self.questions.items()):
-            limit = ANSWER
+            limit = ANSWER_SECONDS
             if name in self.answers:
                 limit = STANDBY_SILENCE_SECONDS
             if self.relay is not None and name == self.relay.name:
