--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -28,7 +28,7 @@
 ANSWER_SECONDS = 0.5
 # Seconds for which a node that does not answer is not asked again, doubled
 # with each time up to the longest.
-FIRST_PAUSE = 1.0
+FIRST_PAUSE_SECONDS = 1.0
 LONGEST_PAUSE = 8.0
 # Better ranked nodes that are asked at the same time.
 ASKED = 2
@@ -140,7 +140,7 @@
 
     def pause(self, name: str, now: float) -> None:
         """Asks a node no more for a while."""
-        _, pause = self.pauses.get(name, (0.0, FIRST_PAUSE))
+        _, pause = self.pauses.get(name, (0.0, FIRST_PAUSE_SECONDS))
         self.pauses[name] = (now + pause, min(2 * pause, LONGEST_PAUSE))
         self.questions.pop(name, None)
         self.answers.pop(name, None)
