--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -29,7 +29,7 @@
 # Seconds for which a node that does not answer is not asked again, doubled
 # with each time up to the longest.
 FIRST_PAUSE_SECONDS = 1.0
-LONGEST_PAUSE = 8.0
+MAX_PAUSE_SECONDS = 8.0
 # Better ranked nodes that are asked at the same time.
 ASKED = 2
 # Seconds of relaying after which a node counts as settled: starting nodes
@@ -141,7 +141,7 @@
     def pause(self, name: str, now: float) -> None:
         """Asks a node no more for a while."""
         _, pause = self.pauses.get(name, (0.0, FIRST_PAUSE_SECONDS))
-        self.pauses[name] = (now + pause, min(2 * pause, LONGEST_PAUSE))
+        self.pauses[name] = (now + pause, min(2 * pause, MAX_PAUSE_SECONDS))
         self.questions.pop(name, None)
         self.answers.pop(name, None)
 
