--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -31,7 +31,7 @@
 FIRST_PAUSE_SECONDS = 1.0
 MAX_PAUSE_SECONDS = 8.0
 # Better ranked nodes that are asked at the same time.
-ASKED = 2
+MAX_ASKED = 2
 # Seconds of relaying after which a node counts as settled: starting nodes
 # take themselves for the relay until the first answer.
 SETTLED = 1.0
@@ -95,7 +95,7 @@
         if relay is not None:
             behind = ranked[ranked.index(relay) + 1 :]
             standby = self.next(behind, now)
-        return Choice(relay, standby, better[:ASKED])
+        return Choice(relay, standby, better[:MAX_ASKED])
 
     def next(
         self, ranked: list[members_module.Member], now: float
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -91,7 +91,7 @@
         self.send(choice.asked, messages.WANTS_SIGNS, messages.News(), now)
         ranked = self.members.ranked(self.members.own.data_centre)
         place = ranked.index(self.members.own)
-        next_ones = ranked[place + 1 : place + 1 + relays_module.ASKED]
+        next_ones = ranked[place + 1 : place + 1 + relays_module.MAX_ASKED]
         self.send(next_ones, messages.WANTS_NOTICE, messages.News(), now)
 
     def remember(self, now: float) -> None:
