--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -34,7 +34,7 @@
 MAX_ASKED = 2
 # Seconds of relaying after which a node counts as settled: starting nodes
 # take themselves for the relay until the first answer.
-SETTLED = 1.0
+SETTLED_SECONDS = 1.0
 # Known nodes up to which each one tells all others by itself and reads the
 # store itself: with 16, each peer still hears ten times a second within 150
 # datagrams.
@@ -112,7 +112,7 @@
         """Whether this node has relayed for its data centre for a while."""
         if self.alone_since is None:
             return False
-        return now - self.alone_since >= SETTLED
+        return now - self.alone_since >= SETTLED_SECONDS
 
     def answering(self, member: members_module.Member, now: float) -> bool:
         """Whether a node was heard lately as a relay."""
