--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -38,7 +38,7 @@
 # Known nodes up to which each one tells all others by itself and reads the
 # store itself: with 16, each peer still hears ten times a second within 150
 # datagrams.
-MESH = 16
+MAX_MESH_NODES = 16
 
 
 class Choice(NamedTuple):
--- a/packages/gypsumfold/src/gypsumfold/gateway/settings.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/settings.py
@@ -87,7 +87,7 @@
 
     address: str
     keys: list[str] = []
-    mesh: int = relays.MESH
+    mesh: int = relays.MAX_MESH_NODES
 
 
 class ReplicasSection(settings_module.Section):
