--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -94,10 +94,10 @@
         standby = None
         if relay is not None:
             behind = ranked[ranked.index(relay) + 1 :]
-            standby = self.next(behind, now)
+            standby = self.next_standby(behind, now)
         return Choice(relay, standby, better[:MAX_ASKED])
 
-    def next(
+    def next_standby(
         self, ranked: list[members_module.Member], now: float
     ) -> members_module.Member | None:
         """The next node in the order that is not known to be silent."""
