--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -108,7 +108,7 @@
                 return member
         return None
 
-    def settled(self, now: float) -> bool:
+    def is_settled(self, now: float) -> bool:
         """Whether this node has relayed for its data centre for a while."""
         if self.alone_since is None:
             return False
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -150,13 +150,15 @@
         if self.meshed:
             return True
         own = self.members.own.data_centre
-        return member.data_centre == own and self.relays.settled(self.clock())
+        return member.data_centre == own and self.relays.is_settled(
+            self.clock()
+        )
 
     def removes(self) -> bool:
         """Whether this node removes the entries of dead ones."""
         if self.meshed:
             return self.leadership.token(self.clock()) is not None
-        return self.relays.settled(self.clock())
+        return self.relays.is_settled(self.clock())
 
     def vouches(self, member: members_module.Member) -> bool:
         """Whether this node renews the entry of another one that it hears.
@@ -342,7 +344,7 @@
             self.pass_on(self.news(now), now)
         due = self.relaying.due(now)
         self.tell_nodes(due, now)
-        if relays and self.relays.settled(now):
+        if relays and self.relays.is_settled(now):
             self.summaries.tell_relays(now)
 
     def tell_nodes(self, due: relaying_module.Due, now: float) -> None:
@@ -523,7 +525,7 @@
         """Whether this node offers to give orders to engines."""
         if self.meshed:
             return self.entries.read
-        return self.relays.settled(self.clock())
+        return self.relays.is_settled(self.clock())
 
     def nodes(self) -> int:
         """Counts the nodes that were heard of lately, this one included."""
