--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -81,7 +81,7 @@
         for member in ranked:
             if member == self.members.own:
                 break
-            if self.answering(member, now):
+            if self.is_answering(member, now):
                 relay = member
                 break
             if not self.paused(member, now):
@@ -114,7 +114,7 @@
             return False
         return now - self.alone_since >= SETTLED_SECONDS
 
-    def answering(self, member: members_module.Member, now: float) -> bool:
+    def is_answering(self, member: members_module.Member, now: float) -> bool:
         """Whether a node was heard lately as a relay."""
         if self.relay is not None and member.name == self.relay.name:
             limit = RELAY_SILENCE_SECONDS
