--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -84,7 +84,7 @@
             if self.is_answering(member, now):
                 relay = member
                 break
-            if not self.paused(member, now):
+            if not self.is_paused(member, now):
                 better.append(member)
         if relay is not None:
             self.alone_since = None
@@ -104,7 +104,7 @@
         for member in ranked:
             if member == self.members.own:
                 return None
-            if not self.paused(member, now):
+            if not self.is_paused(member, now):
                 return member
         return None
 
@@ -122,7 +122,7 @@
             limit = STANDBY_SILENCE_SECONDS
         return now - self.answers.get(member.name, -math.inf) <= limit
 
-    def paused(self, member: members_module.Member, now: float) -> bool:
+    def is_paused(self, member: members_module.Member, now: float) -> bool:
         """Whether a node is not to be asked yet."""
         until, _ = self.pauses.get(member.name, (-math.inf, 0.0))
         return now < until
