--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -75,7 +75,7 @@
     def choose(self, now: float) -> Choice:
         """Says whom to report to now."""
         ranked = self.members.ranked(self.members.own.data_centre)
-        self.give_up(now)
+        self.pause_unanswered(now)
         relay = None
         better = []
         for member in ranked:
@@ -127,7 +127,7 @@
         until, _ = self.pauses.get(member.name, (-math.inf, 0.0))
         return now < until
 
-    def give_up(self, now: float) -> None:
+    def pause_unanswered(self, now: float) -> None:
         """Pauses the nodes that did not answer in time."""
         for name, asked in list(self.questions.items()):
             limit = ANSWER_SECONDS
