--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -145,7 +145,7 @@
         self.questions.pop(name, None)
         self.answers.pop(name, None)
 
-    def asked(self, name: str, now: float) -> None:
+    def record_question(self, name: str, now: float) -> None:
         """Notes that a node was told that this one wants to be told."""
         self.questions.setdefault(name, now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -118,4 +118,4 @@
         if wants < messages.WANTS_SIGNS:
             return
         for member in receivers:
-            self.relays.asked(member.name, now)
+            self.relays.record_question(member.name, now)
