--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -149,7 +149,7 @@
         """Notes that a node was told that this one wants to be told."""
         self.questions.setdefault(name, now)
 
-    def answered(self, name: str, now: float) -> None:
+    def record_answer(self, name: str, now: float) -> None:
         """Notes that a node relays for this one."""
         self.answers[name] = now
         self.pauses.pop(name, None)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -426,7 +426,7 @@
         if member.data_centre != self.members.own.data_centre:
             return
         self.meet(summary.members, now)
-        self.relays.answered(member.name, now)
+        self.relays.record_answer(member.name, now)
         if self.choice.relay is None or member.name != self.choice.relay.name:
             self.choose(now)
         relay = self.choice.relay
