--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -70,7 +70,7 @@
         self.questions: dict[str, float] = {}
         self.pauses: dict[str, tuple[float, float]] = {}
         self.relay: members_module.Member | None = None
-        self.alone_since: float | None = None
+        self.relaying_since: float | None = None
 
     def choose(self, now: float) -> Choice:
         """Says whom to report to now."""
@@ -87,9 +87,9 @@
             if not self.is_paused(member, now):
                 better.append(member)
         if relay is not None:
-            self.alone_since = None
-        elif self.alone_since is None:
-            self.alone_since = now
+            self.relaying_since = None
+        elif self.relaying_since is None:
+            self.relaying_since = now
         self.relay = relay
         standby = None
         if relay is not None:
@@ -110,9 +110,9 @@
 
     def is_settled(self, now: float) -> bool:
         """Whether this node has relayed for its data centre for a while."""
-        if self.alone_since is None:
+        if self.relaying_since is None:
             return False
-        return now - self.alone_since >= SETTLED_SECONDS
+        return now - self.relaying_since >= SETTLED_SECONDS
 
     def is_answering(self, member: members_module.Member, now: float) -> bool:
         """Whether a node was heard lately as a relay."""
