--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -66,7 +66,7 @@
 
     def __init__(self, members: members_module.Members):
         self.members = members
-        self.answers: dict[str, float] = {}
+        self.answered_at: dict[str, float] = {}
         self.questions: dict[str, float] = {}
         self.pauses: dict[str, tuple[float, float]] = {}
         self.relay: members_module.Member | None = None
@@ -120,7 +120,7 @@
             limit = RELAY_SILENCE_SECONDS
         else:
             limit = STANDBY_SILENCE_SECONDS
-        return now - self.answers.get(member.name, -math.inf) <= limit
+        return now - self.answered_at.get(member.name, -math.inf) <= limit
 
     def is_paused(self, member: members_module.Member, now: float) -> bool:
         """Whether a node is not to be asked yet."""
@@ -131,11 +131,11 @@
         """Pauses the nodes that did not answer in time."""
         for name, asked in list(self.questions.items()):
             limit = ANSWER_SECONDS
-            if name in self.answers:
+            if name in self.answered_at:
                 limit = STANDBY_SILENCE_SECONDS
             if self.relay is not None and name == self.relay.name:
                 limit = RELAY_SILENCE_SECONDS
-            if now - max(asked, self.answers.get(name, asked)) > limit:
+            if now - max(asked, self.answered_at.get(name, asked)) > limit:
                 self.pause(name, now)
 
     def pause(self, name: str, now: float) -> None:
@@ -143,7 +143,7 @@
         _, pause = self.pauses.get(name, (0.0, FIRST_PAUSE_SECONDS))
         self.pauses[name] = (now + pause, min(2 * pause, MAX_PAUSE_SECONDS))
         self.questions.pop(name, None)
-        self.answers.pop(name, None)
+        self.answered_at.pop(name, None)
 
     def record_question(self, name: str, now: float) -> None:
         """Notes that a node was told that this one wants to be told."""
@@ -151,11 +151,11 @@
 
     def record_answer(self, name: str, now: float) -> None:
         """Notes that a node relays for this one."""
-        self.answers[name] = now
+        self.answered_at[name] = now
         self.pauses.pop(name, None)
 
     def forget(self, name: str) -> None:
         """Drops a node that is gone."""
-        self.answers.pop(name, None)
+        self.answered_at.pop(name, None)
         self.questions.pop(name, None)
         self.pauses.pop(name, None)
