--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -67,7 +67,7 @@
     def __init__(self, members: members_module.Members):
         self.members = members
         self.answered_at: dict[str, float] = {}
-        self.questions: dict[str, float] = {}
+        self.asked_at: dict[str, float] = {}
         self.pauses: dict[str, tuple[float, float]] = {}
         self.relay: members_module.Member | None = None
         self.relaying_since: float | None = None
@@ -129,7 +129,7 @@
 
     def pause_unanswered(self, now: float) -> None:
         """Pauses the nodes that did not answer in time."""
-        for name, asked in list(self.questions.items()):
+        for name, asked in list(self.asked_at.items()):
             limit = ANSWER_SECONDS
             if name in self.answered_at:
                 limit = STANDBY_SILENCE_SECONDS
@@ -142,12 +142,12 @@
         """Asks a node no more for a while."""
         _, pause = self.pauses.get(name, (0.0, FIRST_PAUSE_SECONDS))
         self.pauses[name] = (now + pause, min(2 * pause, MAX_PAUSE_SECONDS))
-        self.questions.pop(name, None)
+        self.asked_at.pop(name, None)
         self.answered_at.pop(name, None)
 
     def record_question(self, name: str, now: float) -> None:
         """Notes that a node was told that this one wants to be told."""
-        self.questions.setdefault(name, now)
+        self.asked_at.setdefault(name, now)
 
     def record_answer(self, name: str, now: float) -> None:
         """Notes that a node relays for this one."""
@@ -157,5 +157,5 @@
     def forget(self, name: str) -> None:
         """Drops a node that is gone."""
         self.answered_at.pop(name, None)
-        self.questions.pop(name, None)
+        self.asked_at.pop(name, None)
         self.pauses.pop(name, None)
