--- a/packages/gypsumfold/src/gypsumfold/decisions/retries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retries.py
@@ -12,7 +12,7 @@
 
 # Retries as a share of first attempts: in a full outage the load grows by a
 # tenth at the most (Google SRE Book, ch. 21).
-SHARE = 0.1
+RETRY_FRACTION = 0.1
 # Retries that a quiet node may make at once: an engine that fails with a
 # full batch of 32 leaves about 6 to each of six nodes.
 RESERVE = 10.0
@@ -57,7 +57,7 @@
 
     def first(self) -> None:
         """Notes a first attempt, which earns a share of a retry."""
-        self.budget = min(RESERVE, self.budget + SHARE)
+        self.budget = min(RESERVE, self.budget + RETRY_FRACTION)
 
     def delay(
         self, request: types.Request, attempt: int, work: float, now: float
