--- a/packages/gypsumfold/src/gypsumfold/decisions/retries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retries.py
@@ -15,7 +15,7 @@
 RETRY_FRACTION = 0.1
 # Retries that a quiet node may make at once: an engine that fails with a
 # full batch of 32 leaves about 6 to each of six nodes.
-RESERVE = 10.0
+MAX_BUDGET = 10.0
 # Seconds before the first retry, doubled each time: the way between data
 # centres and an engine's restart differ by far more than two tries.
 FIRST_DELAY = 0.05
@@ -53,11 +53,11 @@
 
     def __init__(self, rng: random.Random):
         self.rng = rng
-        self.budget = RESERVE
+        self.budget = MAX_BUDGET
 
     def first(self) -> None:
         """Notes a first attempt, which earns a share of a retry."""
-        self.budget = min(RESERVE, self.budget + RETRY_FRACTION)
+        self.budget = min(MAX_BUDGET, self.budget + RETRY_FRACTION)
 
     def delay(
         self, request: types.Request, attempt: int, work: float, now: float
