--- a/packages/gypsumfold/src/gypsumfold/decisions/retries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retries.py
@@ -18,7 +18,7 @@
 MAX_BUDGET = 10.0
 # Seconds before the first retry, doubled each time: the way between data
 # centres and an engine's restart differ by far more than two tries.
-FIRST_DELAY = 0.05
+FIRST_DELAY_SECONDS = 0.05
 LONGEST_DELAY = 2.0
 # Attempts of one request, the first included.
 MOST_ATTEMPTS = 3
@@ -72,7 +72,7 @@
         """
         if attempt >= MOST_ATTEMPTS or self.budget < 1:
             return None
-        longest = min(LONGEST_DELAY, FIRST_DELAY * 2 ** (attempt - 1))
+        longest = min(LONGEST_DELAY, FIRST_DELAY_SECONDS * 2 ** (attempt - 1))
         delay = self.rng.uniform(0, longest)
         if now + delay + work > request.deadline:
             return None
