--- a/packages/gypsumfold/src/gypsumfold/decisions/retries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retries.py
@@ -19,7 +19,7 @@
 # Seconds before the first retry, doubled each time: the way between data
 # centres and an engine's restart differ by far more than two tries.
 FIRST_DELAY_SECONDS = 0.05
-LONGEST_DELAY = 2.0
+MAX_DELAY_SECONDS = 2.0
 # Attempts of one request, the first included.
 MOST_ATTEMPTS = 3
 # Times the expected seconds to the first token after which an urgent
@@ -72,7 +72,9 @@
         """
         if attempt >= MOST_ATTEMPTS or self.budget < 1:
             return None
-        longest = min(LONGEST_DELAY, FIRST_DELAY_SECONDS * 2 ** (attempt - 1))
+        longest = min(
+            MAX_DELAY_SECONDS, FIRST_DELAY_SECONDS * 2 ** (attempt - 1)
+        )
         delay = self.rng.uniform(0, longest)
         if now + delay + work > request.deadline:
             return None
