--- a/packages/gypsumfold/src/gypsumfold/decisions/retries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retries.py
@@ -21,7 +21,7 @@
 FIRST_DELAY_SECONDS = 0.05
 MAX_DELAY_SECONDS = 2.0
 # Attempts of one request, the first included.
-MOST_ATTEMPTS = 3
+MAX_ATTEMPTS = 3
 # Times the expected seconds to the first token after which an urgent
 # repeatable request is sent to a second replica: about its 99th percentile.
 HEDGE_AFTER = 4.0
@@ -70,7 +70,7 @@
             work: Seconds that the next one will take.
             now: The time.
         """
-        if attempt >= MOST_ATTEMPTS or self.budget < 1:
+        if attempt >= MAX_ATTEMPTS or self.budget < 1:
             return None
         longest = min(
             MAX_DELAY_SECONDS, FIRST_DELAY_SECONDS * 2 ** (attempt - 1)
@@ -103,7 +103,7 @@
         self, request: types.Request, attempt: int, work: float, now: float
     ) -> float | None:
         """At once."""
-        return 0.0 if attempt < MOST_ATTEMPTS else None
+        return 0.0 if attempt < MAX_ATTEMPTS else None
 
     def hedge(
         self, request: types.Request, silent: float, expected: float
