--- a/packages/gypsumfold/src/gypsumfold/decisions/retries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retries.py
@@ -24,7 +24,7 @@
 MAX_ATTEMPTS = 3
 # Times the expected seconds to the first token after which an urgent
 # repeatable request is sent to a second replica: about its 99th percentile.
-HEDGE_AFTER = 4.0
+HEDGE_RATIO = 4.0
 
 
 class Retries(Protocol):
@@ -87,7 +87,7 @@
         """Only urgent repeatable work, and within the same budget."""
         if not request.repeatable or request.urgency > 0:
             return False
-        if silent < HEDGE_AFTER * expected or self.budget < 1:
+        if silent < HEDGE_RATIO * expected or self.budget < 1:
             return False
         self.budget -= 1
         return True
