--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -21,7 +21,7 @@
 HYSTERESIS = 1.25
 # Share of the present demand that the fleet should be able to serve; queues
 # grow without bound on the way to 1.
-RESERVE = 1.1
+MAX_SERVED_FRACTION = 1.1
 # Seconds a new mix must have lasted: twice the memory of the demand meter.
 SETTLE = 4.0
 # Halvings of the interval when the served share is worked out; 1/1000.
@@ -199,7 +199,7 @@
         self, counts: collections.Counter, demand: types.Demand
     ) -> float:
         """The share of the demand that engines in these roles can serve."""
-        low, high = 0.0, RESERVE
+        low, high = 0.0, MAX_SERVED_FRACTION
         if self.fits(counts, demand, high):
             return high
         for _ in range(HALVINGS):
