--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -23,7 +23,7 @@
 # grow without bound on the way to 1.
 MAX_SERVED_FRACTION = 1.1
 # Seconds a new mix must have lasted: twice the memory of the demand meter.
-SETTLE = 4.0
+SETTLE_SECONDS = 4.0
 # Halvings of the interval when the served share is worked out; 1/1000.
 HALVINGS = 10
 
@@ -138,7 +138,7 @@
 
     def known(self, engines: list[Engine], now: float) -> bool:
         """Whether the mix has settled and all reports are of this mix."""
-        if not engines or now - self.swings.started_at < SETTLE:
+        if not engines or now - self.swings.started_at < SETTLE_SECONDS:
             return False
         for engine in engines:
             if not engine.ready or engine.taken <= self.swings.started_at:
@@ -193,7 +193,7 @@
         best = self.served(old, former)
         wrong = max(0.0, best - self.served(new, former))
         missing = max(0.0, best - self.served(without, former))
-        return wrong * (SETTLE + away) + missing * self.costs.away
+        return wrong * (SETTLE_SECONDS + away) + missing * self.costs.away
 
     def served(
         self, counts: collections.Counter, demand: types.Demand
