--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -25,7 +25,7 @@
 # Seconds a new mix must have lasted: twice the memory of the demand meter.
 SETTLE_SECONDS = 4.0
 # Halvings of the interval when the served share is worked out; 1/1000.
-HALVINGS = 10
+BISECTION_STEPS = 10
 
 
 class Rates(NamedTuple):
@@ -202,7 +202,7 @@
         low, high = 0.0, MAX_SERVED_FRACTION
         if self.fits(counts, demand, high):
             return high
-        for _ in range(HALVINGS):
+        for _ in range(BISECTION_STEPS):
             middle = (low + high) / 2
             if self.fits(counts, demand, middle):
                 low = middle
