--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -53,7 +53,7 @@
 
     name: str
     role: types.Role
-    taken: float
+    reported_at: float
     running: int
     ready: bool
 
@@ -141,7 +141,7 @@
         if not engines or now - self.swings.started_at < SETTLE_SECONDS:
             return False
         for engine in engines:
-            if not engine.ready or engine.taken <= self.swings.started_at:
+            if not engine.ready or engine.reported_at <= self.swings.started_at:
                 return False
         return True
 
