--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -117,13 +117,13 @@
     ):
         self.rates = rates
         self.costs = costs
-        self.swings = swings_module.MixDuration(now)
+        self.mix_duration = swings_module.MixDuration(now)
 
     def plan(
         self, engines: list[Engine], demand: types.Demand, now: float
     ) -> Change | None:
         """The change to make now, at most one; None for none."""
-        self.swings.observe(demand, now)
+        self.mix_duration.observe(demand, now)
         if not self.known(engines, now):
             return None
         best = None
@@ -138,10 +138,13 @@
 
     def known(self, engines: list[Engine], now: float) -> bool:
         """Whether the mix has settled and all reports are of this mix."""
-        if not engines or now - self.swings.started_at < SETTLE_SECONDS:
+        if not engines or now - self.mix_duration.started_at < SETTLE_SECONDS:
             return False
         for engine in engines:
-            if not engine.ready or engine.reported_at <= self.swings.started_at:
+            if (
+                not engine.ready
+                or engine.reported_at <= self.mix_duration.started_at
+            ):
                 return False
         return True
 
@@ -161,7 +164,7 @@
         new = without + collections.Counter([role])
         before = self.served(old, demand)
         away = self.costs.away + self.costs.drain * bool(engine.running)
-        stay = max(0.0, self.swings.remaining_seconds(now) - away)
+        stay = max(0.0, self.mix_duration.remaining_seconds(now) - away)
         gain = (self.served(new, demand) - before) * len(engines) * stay
         lost = max(0.0, before - self.served(without, demand)) * away
         lost += self.regret(old, new, without, away * new[role])
@@ -187,7 +190,7 @@
             without: While the engine is away.
             away: Seconds until all that changed have changed back.
         """
-        former = self.swings.previous_demand
+        former = self.mix_duration.previous_demand
         if former is None:
             return 0.0
         best = self.served(old, former)
