--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -124,7 +124,7 @@
     ) -> Change | None:
         """The change to make now, at most one; None for none."""
         self.mix_duration.observe(demand, now)
-        if not self.known(engines, now):
+        if not self.is_ready(engines, now):
             return None
         best = None
         for engine in engines:
@@ -136,7 +136,7 @@
                     best = change
         return best
 
-    def known(self, engines: list[Engine], now: float) -> bool:
+    def is_ready(self, engines: list[Engine], now: float) -> bool:
         """Whether the mix has settled and all reports are of this mix."""
         if not engines or now - self.mix_duration.started_at < SETTLE_SECONDS:
             return False
