--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -129,7 +129,7 @@
         best = None
         for engine in engines:
             for role in types.Role:
-                change = self.weigh(engines, engine, role, demand, now)
+                change = self.evaluate(engines, engine, role, demand, now)
                 if change is None or change.gain <= change.loss * HYSTERESIS:
                     continue
                 if best is None or margin(change) > margin(best):
@@ -148,7 +148,7 @@
                 return False
         return True
 
-    def weigh(
+    def evaluate(
         self,
         engines: list[Engine],
         engine: Engine,
@@ -249,7 +249,7 @@
             if not engine.ready:
                 return None
             for role in types.Role:
-                change = self.weigh(engines, engine, role, demand, now)
+                change = self.evaluate(engines, engine, role, demand, now)
                 if change is None or change.gain <= 0:
                     continue
                 if best is None or change.gain > best.gain:
