--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -166,10 +166,10 @@
         away = self.costs.away + self.costs.drain * bool(engine.running)
         stay = max(0.0, self.mix_duration.remaining_seconds(now) - away)
         gain = (self.served(new, demand) - before) * len(engines) * stay
-        lost = max(0.0, before - self.served(without, demand)) * away
-        lost += self.regret(old, new, without, away * new[role])
+        loss = max(0.0, before - self.served(without, demand)) * away
+        loss += self.regret(old, new, without, away * new[role])
         return Change(
-            engine.name, role, gain, lost * len(engines) + self.costs.weight
+            engine.name, role, gain, loss * len(engines) + self.costs.weight
         )
 
     def regret(
