--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -164,8 +164,14 @@
         new = without + collections.Counter([role])
         before = self.served(old, demand)
         away = self.costs.away + self.costs.drain * bool(engine.running)
-        stay = max(0.0, self.mix_duration.remaining_seconds(now) - away)
-        gain = (self.served(new, demand) - before) * len(engines) * stay
+        expected_seconds = max(
+            0.0, self.mix_duration.remaining_seconds(now) - away
+        )
+        gain = (
+            (self.served(new, demand) - before)
+            * len(engines)
+            * expected_seconds
+        )
         loss = max(0.0, before - self.served(without, demand)) * away
         loss += self.regret(old, new, without, away * new[role])
         return Change(
