--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -173,12 +173,12 @@
             * expected_seconds
         )
         loss = max(0.0, before - self.served(without, demand)) * away
-        loss += self.regret(old, new, without, away * new[role])
+        loss += self.revert_cost(old, new, without, away * new[role])
         return Change(
             engine.name, role, gain, loss * len(engines) + self.costs.weight
         )
 
-    def regret(
+    def revert_cost(
         self,
         old: collections.Counter,
         new: collections.Counter,
