--- a/features/support/swinging.py
+++ b/features/support/swinging.py
@@ -57,7 +57,7 @@
             role for name, role in fleet.items() if name not in away
         )
         meter = roles.GainPlanner(RATES, roles.Costs(0, 0, 0), 0.0)
-        served += min(1.0, meter.served(counts, demand))
+        served += min(1.0, meter.served_fraction(counts, demand))
     return served / seconds, changes
 
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -162,17 +162,17 @@
         old = collections.Counter(one.role for one in engines)
         without = old - collections.Counter([engine.role])
         new = without + collections.Counter([role])
-        before = self.served(old, demand)
+        before = self.served_fraction(old, demand)
         away = self.costs.away + self.costs.drain * bool(engine.running)
         expected_seconds = max(
             0.0, self.mix_duration.remaining_seconds(now) - away
         )
         gain = (
-            (self.served(new, demand) - before)
+            (self.served_fraction(new, demand) - before)
             * len(engines)
             * expected_seconds
         )
-        loss = max(0.0, before - self.served(without, demand)) * away
+        loss = max(0.0, before - self.served_fraction(without, demand)) * away
         loss += self.revert_cost(old, new, without, away * new[role])
         return Change(
             engine.name, role, gain, loss * len(engines) + self.costs.weight
@@ -199,12 +199,12 @@
         former = self.mix_duration.previous_demand
         if former is None:
             return 0.0
-        best = self.served(old, former)
-        wrong = max(0.0, best - self.served(new, former))
-        missing = max(0.0, best - self.served(without, former))
+        best = self.served_fraction(old, former)
+        wrong = max(0.0, best - self.served_fraction(new, former))
+        missing = max(0.0, best - self.served_fraction(without, former))
         return wrong * (SETTLE_SECONDS + away) + missing * self.costs.away
 
-    def served(
+    def served_fraction(
         self, counts: collections.Counter, demand: types.Demand
     ) -> float:
         """The share of the demand that engines in these roles can serve."""
