--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -209,17 +209,17 @@
     ) -> float:
         """The share of the demand that engines in these roles can serve."""
         low, high = 0.0, MAX_SERVED_FRACTION
-        if self.fits(counts, demand, high):
+        if self.can_serve(counts, demand, high):
             return high
         for _ in range(BISECTION_STEPS):
             middle = (low + high) / 2
-            if self.fits(counts, demand, middle):
+            if self.can_serve(counts, demand, middle):
                 low = middle
             else:
                 high = middle
         return low
 
-    def fits(
+    def can_serve(
         self, counts: collections.Counter, demand: types.Demand, share: float
     ) -> bool:
         """Whether a share of the demand can be served.
