--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -220,7 +220,7 @@
         return low
 
     def can_serve(
-        self, counts: collections.Counter, demand: types.Demand, share: float
+        self, counts: collections.Counter, demand: types.Demand, fraction: float
     ) -> bool:
         """Whether a share of the demand can be served.
 
@@ -229,9 +229,9 @@
         mixed = self.rates[types.Role.MIXED]
         prefill = self.rates[types.Role.PREFILL].prefill
         decode = self.rates[types.Role.DECODE].decode
-        prompt = share * demand.prompt_tokens
+        prompt = fraction * demand.prompt_tokens
         prompt -= counts[types.Role.PREFILL] * prefill
-        output = share * demand.output_tokens
+        output = fraction * demand.output_tokens
         output -= counts[types.Role.DECODE] * decode
         needed = max(0.0, prompt) / mixed.prefill
         needed += max(0.0, output) / mixed.decode
