--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -132,7 +132,7 @@
                 change = self.evaluate(engines, engine, role, demand, now)
                 if change is None or change.gain <= change.loss * HYSTERESIS:
                     continue
-                if best is None or margin(change) > margin(best):
+                if best is None or net_gain(change) > net_gain(best):
                     best = change
         return best
 
@@ -238,7 +238,7 @@
         return needed <= counts[types.Role.MIXED]
 
 
-def margin(change: Change) -> float:
+def net_gain(change: Change) -> float:
     """What a change gains beyond its cost."""
     return change.gain - change.loss
 
