--- a/features/support/swinging.py
+++ b/features/support/swinging.py
@@ -66,4 +66,4 @@
 
 
 def following():
-    return roles.FollowingPlanner(RATES, roles.Costs(AWAY, DRAIN, 0.0), 0.0)
+    return roles.GreedyPlanner(RATES, roles.Costs(AWAY, DRAIN, 0.0), 0.0)
--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -243,7 +243,7 @@
     return change.gain - change.loss
 
 
-class FollowingPlanner(GainPlanner):
+class GreedyPlanner(GainPlanner):
     """A baseline: makes any change that serves more right now."""
 
     def plan(
