--- a/packages/gypsumfold/src/gypsumfold/decisions/routes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/routes.py
@@ -54,7 +54,7 @@
     attempts: int
     targets: tuple[Target, ...]
     resumable: bool = False
-    patience: float = 0.0
+    abandon_timeout: float = 0.0
 
     @property
     def repeatable(self) -> bool:
@@ -68,9 +68,9 @@
             left: Seconds until its deadline.
             age: Seconds since it asked.
         """
-        if self.patience <= 0:
+        if self.abandon_timeout <= 0:
             return left
-        return min(left, self.patience - age)
+        return min(left, self.abandon_timeout - age)
 
     def service(self, request_id: str) -> str:
         """Picks a service by weight, the same one for the same request."""
--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -271,7 +271,7 @@
         attempts=record.attempts,
         targets=tuple(targets),
         resumable=record.resumable,
-        patience=_patience(record),
+        abandon_timeout=_patience(record),
     )
 
 
