--- a/packages/gypsumfold/src/gypsumfold/decisions/routes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/routes.py
@@ -61,7 +61,7 @@
         """Whether a request may run again from its start."""
         return self.kind == Kind.IDEMPOTENT
 
-    def waits(self, left: float, age: float) -> float:
+    def remaining_wait(self, left: float, age: float) -> float:
         """Seconds for which the caller still waits for a first event.
 
         Args:
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -201,7 +201,7 @@
             verdict = outages.decide(
                 since,
                 service.switch_time,
-                route.waits(progress.time_left(), age),
+                route.remaining_wait(progress.time_left(), age),
                 progress.time_left(),
                 now,
             )
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -58,7 +58,7 @@
             load: Seconds for which it holds up others.
         """
         age = time.monotonic() - self.call.arrival
-        waits = route.waits(self.time_left(), age)
+        waits = route.remaining_wait(self.time_left(), age)
         return lateness.rank(
             route.urgency,
             age,
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -110,7 +110,9 @@
         age = 0.0
         if not progress.answer_started:
             age = started - progress.call.arrival
-        longest = MAX_HOLD_FRACTION * route.waits(progress.time_left(), age)
+        longest = MAX_HOLD_FRACTION * route.remaining_wait(
+            progress.time_left(), age
+        )
         while replica is not None:
             if await self.reserve(progress, replica):
                 held = time.monotonic() - started
