--- a/packages/gypsumfold/src/gypsumfold/decisions/routes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/routes.py
@@ -72,7 +72,7 @@
             return left
         return min(left, self.abandon_timeout - age)
 
-    def service(self, request_id: str) -> str:
+    def pick_service(self, request_id: str) -> str:
         """Picks a service by weight, the same one for the same request."""
         total = sum(target.weight for target in self.targets)
         if total <= 0:
--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -79,7 +79,7 @@
         limit = min(call.deadline, call.arrival + route.limit)
         call = call._replace(deadline=limit)
         progress = progress_module.Progress(call)
-        service = route.service(call.id)
+        service = route.pick_service(call.id)
         self.budget.record_request(service, time.monotonic())
         outcome = "cancelled"
         reason = ""
