--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -10,7 +10,7 @@
 # Seconds without a byte on any connection with a request, after which a
 # replica is asked for a sign of life. Engines send an event of each stream
 # every 40 to 120 ms; a single request that waits for room is silent longer.
-LIMIT = 0.4
+SILENCE_LIMIT_SECONDS = 0.4
 # Seconds by which a look may be late before it says more about this node,
 # which was suspended, than about the replicas.
 LATE = 0.3
@@ -67,6 +67,6 @@
             return []
         found = []
         for replica, since in self.since.items():
-            if now - since > LIMIT:
+            if now - since > SILENCE_LIMIT_SECONDS:
                 found.append(replica)
         return found
