--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -13,7 +13,7 @@
 SILENCE_LIMIT_SECONDS = 0.4
 # Seconds by which a look may be late before it says more about this node,
 # which was suspended, than about the replicas.
-LATE = 0.3
+LATE_CHECK_SECONDS = 0.3
 
 
 class Silence:
@@ -59,7 +59,9 @@
         After a time in which this node itself stood still all count as
         heard of.
         """
-        late = self.looked is not None and now - self.looked > LATE
+        late = (
+            self.looked is not None and now - self.looked > LATE_CHECK_SECONDS
+        )
         self.looked = now
         if late:
             for replica in self.since:
