--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -337,7 +337,7 @@
 
 @behave.given("an engine that owes an answer")
 def step_owes(context):
-    context.silence = silence.Silence()
+    context.silence = silence.SilenceDetector()
     context.silence.started("engine-1", 0.0)
 
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -16,7 +16,7 @@
 LATE_CHECK_SECONDS = 0.3
 
 
-class Silence:
+class SilenceDetector:
     """Watches the last sign of life of each replica that owes an answer.
 
     >>> silence = Silence()
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -66,7 +66,7 @@
         self.crashed: list[Callable[[types.Replica], None]] = []
         self.alive: list[Callable[[str], None]] = []
         self.confirmed: dict[str, tuple[decision_types.Role, float]] = {}
-        self.silence = silence_module.Silence()
+        self.silence = silence_module.SilenceDetector()
         self.streams = shares.Shares()
         self.generating: dict[str, float] = {}
         self.health = health.Health(rng)
