--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -26,13 +26,13 @@
     """
 
     def __init__(self):
-        self.owing: dict[str, int] = {}
+        self.open_requests: dict[str, int] = {}
         self.since: dict[str, float] = {}
         self.looked: float | None = None
 
     def started(self, replica: str, now: float) -> None:
         """Notes a request that is sent."""
-        self.owing[replica] = self.owing.get(replica, 0) + 1
+        self.open_requests[replica] = self.open_requests.get(replica, 0) + 1
         self.since.setdefault(replica, now)
 
     def heard(self, replica: str, now: float) -> None:
@@ -42,11 +42,11 @@
 
     def ended(self, replica: str) -> None:
         """Notes the end of a request."""
-        left = self.owing.get(replica, 0) - 1
+        left = self.open_requests.get(replica, 0) - 1
         if left > 0:
-            self.owing[replica] = left
+            self.open_requests[replica] = left
             return
-        self.owing.pop(replica, None)
+        self.open_requests.pop(replica, None)
         self.since.pop(replica, None)
 
     def forget(self, replica: str) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -319,7 +319,7 @@
             events.REPLICA_SILENT,
             instance=instance,
             seconds=round(now - self.silence.since.get(instance, now), 3),
-            requests=self.silence.owing.get(instance, 0),
+            requests=self.silence.open_requests.get(instance, 0),
         )
 
     def process_ended(self, instance: str) -> None:
@@ -417,7 +417,7 @@
         best = None
         best_key = None
         for replica in replicas:
-            busy = self.silence.owing.get(replica.instance, 0)
+            busy = self.silence.open_requests.get(replica.instance, 0)
             key = (
                 busy / max(1, replica.slots),
                 replica.data_centre != data_centre,
