--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -27,18 +27,18 @@
 
     def __init__(self):
         self.open_requests: dict[str, int] = {}
-        self.since: dict[str, float] = {}
+        self.last_byte_at: dict[str, float] = {}
         self.looked: float | None = None
 
     def started(self, replica: str, now: float) -> None:
         """Notes a request that is sent."""
         self.open_requests[replica] = self.open_requests.get(replica, 0) + 1
-        self.since.setdefault(replica, now)
+        self.last_byte_at.setdefault(replica, now)
 
     def heard(self, replica: str, now: float) -> None:
         """Notes bytes from a replica."""
-        if replica in self.since:
-            self.since[replica] = now
+        if replica in self.last_byte_at:
+            self.last_byte_at[replica] = now
 
     def ended(self, replica: str) -> None:
         """Notes the end of a request."""
@@ -47,11 +47,11 @@
             self.open_requests[replica] = left
             return
         self.open_requests.pop(replica, None)
-        self.since.pop(replica, None)
+        self.last_byte_at.pop(replica, None)
 
     def forget(self, replica: str) -> None:
         """Drops a replica that is gone; what it owed ends without it."""
-        self.since.pop(replica, None)
+        self.last_byte_at.pop(replica, None)
 
     def look(self, now: float) -> list[str]:
         """The replicas that are silent for too long.
@@ -64,11 +64,11 @@
         )
         self.looked = now
         if late:
-            for replica in self.since:
-                self.since[replica] = now
+            for replica in self.last_byte_at:
+                self.last_byte_at[replica] = now
             return []
         found = []
-        for replica, since in self.since.items():
+        for replica, since in self.last_byte_at.items():
             if now - since > SILENCE_LIMIT_SECONDS:
                 found.append(replica)
         return found
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -318,7 +318,9 @@
         events.log(
             events.REPLICA_SILENT,
             instance=instance,
-            seconds=round(now - self.silence.since.get(instance, now), 3),
+            seconds=round(
+                now - self.silence.last_byte_at.get(instance, now), 3
+            ),
             requests=self.silence.open_requests.get(instance, 0),
         )
 
