--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -28,7 +28,7 @@
     def __init__(self):
         self.open_requests: dict[str, int] = {}
         self.last_byte_at: dict[str, float] = {}
-        self.looked: float | None = None
+        self.checked_at: float | None = None
 
     def started(self, replica: str, now: float) -> None:
         """Notes a request that is sent."""
@@ -60,9 +60,10 @@
         heard of.
         """
         late = (
-            self.looked is not None and now - self.looked > LATE_CHECK_SECONDS
+            self.checked_at is not None
+            and now - self.checked_at > LATE_CHECK_SECONDS
         )
-        self.looked = now
+        self.checked_at = now
         if late:
             for replica in self.last_byte_at:
                 self.last_byte_at[replica] = now
