--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -35,7 +35,7 @@
         self.open_requests[replica] = self.open_requests.get(replica, 0) + 1
         self.last_byte_at.setdefault(replica, now)
 
-    def heard(self, replica: str, now: float) -> None:
+    def received(self, replica: str, now: float) -> None:
         """Notes bytes from a replica."""
         if replica in self.last_byte_at:
             self.last_byte_at[replica] = now
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -304,7 +304,7 @@
 
     def heard(self, instance: str, now: float) -> None:
         """Notes a sign of life."""
-        self.silence.heard(instance, now)
+        self.silence.received(instance, now)
         if instance in self.suspects:
             self.suspects.discard(instance)
             self.looks.pop(instance, None)
