--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -53,7 +53,7 @@
         """Drops a replica that is gone; what it owed ends without it."""
         self.last_byte_at.pop(replica, None)
 
-    def look(self, now: float) -> list[str]:
+    def check(self, now: float) -> list[str]:
         """The replicas that are silent for too long.
 
         After a time in which this node itself stood still all count as
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -380,7 +380,7 @@
 
         Those that gave none are asked less and less often.
         """
-        asked = self.doubts.union(self.silence.look(now)) - self.suspects
+        asked = self.doubts.union(self.silence.check(now)) - self.suspects
         self.doubts.clear()
         self.doubted.clear()
         for instance in self.suspects:
