--- a/packages/gypsumfold/src/gypsumfold/decisions/subsets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/subsets.py
@@ -60,7 +60,7 @@
     return xxhash.xxh3_64_intdigest(f"{node}\n{replica}".encode())
 
 
-class Everything:
+class AllReplicas:
     """The baseline: every node routes to every replica."""
 
     def choose(
