--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -31,7 +31,7 @@
     for number in range(count):
         role = types.Role.DECODE if number < decoders else types.Role.PREFILL
         context.roles[f"engine-{number}"] = role
-    context.split = stages.Split()
+    context.split = stages.RoleSplit()
     context.now = 0.0
     context.changes = 0
     pass_time(context, 1.0, 0.5, 0.3)
@@ -109,7 +109,7 @@
         generates = number < decoders
         role = types.Role.DECODE if generates else types.Role.PREFILL
         context.roles[f"engine-{number}"] = role
-    context.split = stages.Split()
+    context.split = stages.RoleSplit()
     context.now = 0.0
     context.changes = 0
     context.load = load
@@ -144,7 +144,7 @@
 @behave.when("another node takes over while its engine's change is under way")
 def step_take_over(context):
     """The new holder sees the old roles until the change shows."""
-    context.split = stages.Split()
+    context.split = stages.RoleSplit()
     changing = next(
         name
         for name, role in context.roles.items()
--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -101,7 +101,7 @@
     role: types.Role
 
 
-class Split:
+class RoleSplit:
     """Follows the load of one service and says which engines change.
 
     >>> split = Split()
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -78,7 +78,7 @@
         self.configurations = configurations
         self.endpoints = endpoints
         self.pending: dict[str, Pending] = {}
-        self.splits: dict[str, stages.Split] = {}
+        self.splits: dict[str, stages.RoleSplit] = {}
         self.tasks: set[asyncio.Task] = set()
         directory.gone.append(self.forget)
 
@@ -147,7 +147,7 @@
                     changing,
                 )
             )
-        split = self.splits.setdefault(service.name, stages.Split())
+        split = self.splits.setdefault(service.name, stages.RoleSplit())
         planned = split.plan(views, self.load(service, now), now)
         async with asyncio.TaskGroup() as group:
             for change in planned:
