--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -18,7 +18,7 @@
 # Tokens of KV cache that are moved for each one that is read: prompts are
 # moved whole, of which engines found 2.5 cached for each one that they read
 # (calm day of long dossiers and short tags).
-MOVED = 2.5
+TRANSFERRED_PER_PREFILLED = 2.5
 # Times as long as within a data centre that moves take on average, where two
 # in three go to another one and take twice as long.
 CROSSING = 1.67
@@ -319,7 +319,7 @@
     """
     if link_rate <= 0:
         return 0.0
-    return MOVED * CROSSING * rate * token_bytes / link_rate
+    return TRANSFERRED_PER_PREFILLED * CROSSING * rate * token_bytes / link_rate
 
 
 def changes(engines: list[EngineView], wanted: int) -> list[Change]:
