--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -21,7 +21,7 @@
 TRANSFERRED_PER_PREFILLED = 2.5
 # Times as long as within a data centre that moves take on average, where two
 # in three go to another one and take twice as long.
-CROSSING = 1.67
+TRANSFER_TIME_FACTOR = 1.67
 # Share of the generating engines that streams may fill before another engine
 # is to generate: a full memory evicts streams midway.
 FULL = 0.6
@@ -319,7 +319,13 @@
     """
     if link_rate <= 0:
         return 0.0
-    return TRANSFERRED_PER_PREFILLED * CROSSING * rate * token_bytes / link_rate
+    return (
+        TRANSFERRED_PER_PREFILLED
+        * TRANSFER_TIME_FACTOR
+        * rate
+        * token_bytes
+        / link_rate
+    )
 
 
 def changes(engines: list[EngineView], wanted: int) -> list[Change]:
