--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -24,7 +24,7 @@
 TRANSFER_TIME_FACTOR = 1.67
 # Share of the generating engines that streams may fill before another engine
 # is to generate: a full memory evicts streams midway.
-FULL = 0.6
+FULL_FRACTION = 0.6
 # Share from which another engine is to generate though prompts wait: behind a
 # full engine they wait as well, and with 0.9 to 1.2 of one taken the streams
 # of a mean answer of 120 tokens lasted 2 to 3 s instead of 0.6 s.
@@ -195,7 +195,7 @@
         if current < 1 or abs(moved) > engines // TOLERATED:
             return False
         if moved < 0:
-            return self.streams <= FULL * current
+            return self.streams <= FULL_FRACTION * current
         return self.spare(max(1, engines - current))
 
     def follow(self, engines: int, now: float) -> None:
@@ -228,7 +228,7 @@
         step = max(1, engines // 10)
         enough = max(1, math.ceil(self.streams / AIM))
         more = min(current + step, enough, engines - 1)
-        if more > current and self.streams > FULL * current:
+        if more > current and self.streams > FULL_FRACTION * current:
             overfull = self.streams > OVERFULL * current
             if self.spare(engines - more):
                 return more
@@ -304,7 +304,10 @@
         moving: Links that one engine fills which reads all the time.
     """
     found = max(1, round(engines / ENGINES_PER_DECODER))
-    while found < engines // 2 and moving * (engines - found) > FULL * found:
+    while (
+        found < engines // 2
+        and moving * (engines - found) > FULL_FRACTION * found
+    ):
         found += 1
     return found
 
