--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -28,7 +28,7 @@
 # Share from which another engine is to generate though prompts wait: behind a
 # full engine they wait as well, and with 0.9 to 1.2 of one taken the streams
 # of a mean answer of 120 tokens lasted 2 to 3 s instead of 0.6 s.
-OVERFULL = 0.9
+OVERFULL_FRACTION = 0.9
 # Share to which more engines are to bring it, and below which one fewer
 # would still be enough.
 AIM = 0.5
@@ -229,7 +229,7 @@
         enough = max(1, math.ceil(self.streams / AIM))
         more = min(current + step, enough, engines - 1)
         if more > current and self.streams > FULL_FRACTION * current:
-            overfull = self.streams > OVERFULL * current
+            overfull = self.streams > OVERFULL_FRACTION * current
             if self.spare(engines - more):
                 return more
             if overfull and self.better(more, current, engines):
@@ -264,7 +264,7 @@
         nodes).
         """
         prompts = max(self.prompts / PRESSED, self.demand / BUSY)
-        streams = self.streams / OVERFULL
+        streams = self.streams / OVERFULL_FRACTION
         return prompts / max(1, engines - generators) + streams / generators
 
 
