--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -31,7 +31,7 @@
 OVERFULL_FRACTION = 0.9
 # Share to which more engines are to bring it, and below which one fewer
 # would still be enough.
-AIM = 0.5
+TARGET_FRACTION = 0.5
 # Seconds of prompts that wait at each reading engine, on average: below the
 # first one an engine can be spared, above the second one is missing.
 SPARE = 0.35
@@ -226,7 +226,7 @@
         """How many engines the load wants to generate."""
         current = self.target
         step = max(1, engines // 10)
-        enough = max(1, math.ceil(self.streams / AIM))
+        enough = max(1, math.ceil(self.streams / TARGET_FRACTION))
         more = min(current + step, enough, engines - 1)
         if more > current and self.streams > FULL_FRACTION * current:
             overfull = self.streams > OVERFULL_FRACTION * current
