--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -34,7 +34,7 @@
 TARGET_FRACTION = 0.5
 # Seconds of prompts that wait at each reading engine, on average: below the
 # first one an engine can be spared, above the second one is missing.
-SPARE = 0.35
+SPARE_SECONDS = 0.35
 PRESSED = 0.5
 # Share of their time for which engines read prompts as they come, refused ones
 # included, above which readers are missing: prompts of 5 to 300 ms wait for
@@ -243,7 +243,10 @@
 
     def spare(self, readers: int) -> bool:
         """Whether so many readers have time to spare."""
-        return self.prompts / readers < SPARE and self.demand / readers < BUSY
+        return (
+            self.prompts / readers < SPARE_SECONDS
+            and self.demand / readers < BUSY
+        )
 
     def pressed(self, readers: int) -> bool:
         """Whether so many readers are too few."""
