--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -35,7 +35,7 @@
 # Seconds of prompts that wait at each reading engine, on average: below the
 # first one an engine can be spared, above the second one is missing.
 SPARE_SECONDS = 0.35
-PRESSED = 0.5
+OVERLOADED_SECONDS = 0.5
 # Share of their time for which engines read prompts as they come, refused ones
 # included, above which readers are missing: prompts of 5 to 300 ms wait for
 # several times their own reading from about there.
@@ -250,7 +250,10 @@
 
     def pressed(self, readers: int) -> bool:
         """Whether so many readers are too few."""
-        return self.prompts / readers > PRESSED or self.demand / readers > BUSY
+        return (
+            self.prompts / readers > OVERLOADED_SECONDS
+            or self.demand / readers > BUSY
+        )
 
     def better(self, generators: int, other: int, engines: int) -> bool:
         """Whether one split leaves less waiting than another one."""
@@ -266,7 +269,7 @@
         instead of 0.05 s, until the day's end (counted in the logs of nine
         nodes).
         """
-        prompts = max(self.prompts / PRESSED, self.demand / BUSY)
+        prompts = max(self.prompts / OVERLOADED_SECONDS, self.demand / BUSY)
         streams = self.streams / OVERFULL_FRACTION
         return prompts / max(1, engines - generators) + streams / generators
 
