--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -39,7 +39,7 @@
 # Share of their time for which engines read prompts as they come, refused ones
 # included, above which readers are missing: prompts of 5 to 300 ms wait for
 # several times their own reading from about there.
-BUSY = 0.8
+BUSY_FRACTION = 0.8
 # Seconds in which a load moves the estimate by two thirds: shorter than a
 # swing of the mix, longer than the gap between two large prompts.
 SMOOTHING = 0.8
@@ -245,14 +245,14 @@
         """Whether so many readers have time to spare."""
         return (
             self.prompts / readers < SPARE_SECONDS
-            and self.demand / readers < BUSY
+            and self.demand / readers < BUSY_FRACTION
         )
 
     def pressed(self, readers: int) -> bool:
         """Whether so many readers are too few."""
         return (
             self.prompts / readers > OVERLOADED_SECONDS
-            or self.demand / readers > BUSY
+            or self.demand / readers > BUSY_FRACTION
         )
 
     def better(self, generators: int, other: int, engines: int) -> bool:
@@ -269,7 +269,9 @@
         instead of 0.05 s, until the day's end (counted in the logs of nine
         nodes).
         """
-        prompts = max(self.prompts / OVERLOADED_SECONDS, self.demand / BUSY)
+        prompts = max(
+            self.prompts / OVERLOADED_SECONDS, self.demand / BUSY_FRACTION
+        )
         streams = self.streams / OVERFULL_FRACTION
         return prompts / max(1, engines - generators) + streams / generators
 
