--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -42,7 +42,7 @@
 BUSY_FRACTION = 0.8
 # Seconds in which a load moves the estimate by two thirds: shorter than a
 # swing of the mix, longer than the gap between two large prompts.
-SMOOTHING = 0.8
+SMOOTHING_SECONDS = 0.8
 # Seconds for which a load must ask for the same split: swings of a second are
 # not followed, since a change takes an engine away for three.
 LASTING = 1.2
@@ -217,7 +217,7 @@
             self.busy = now
         passed = now - self.seen if self.seen is not None else math.inf
         self.seen = now
-        weight = 1 - math.exp(-passed / SMOOTHING)
+        weight = 1 - math.exp(-passed / SMOOTHING_SECONDS)
         self.prompts += weight * (load.prompts - self.prompts)
         self.streams += weight * (load.streams - self.streams)
         self.demand += weight * (load.demand - self.demand)
