--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -45,7 +45,7 @@
 SMOOTHING_SECONDS = 0.8
 # Seconds for which a load must ask for the same split: swings of a second are
 # not followed, since a change takes an engine away for three.
-LASTING = 1.2
+STABLE_SECONDS = 1.2
 # Seconds between two changes: an engine's change takes three, and the streams
 # that waited meanwhile are gone some seconds after that; with five a second
 # engine was given away as well, for streams that had waited for the first.
@@ -204,7 +204,7 @@
         if wanted != self.wish:
             self.wish = wanted
             self.wished = now
-        if wanted == self.target or now - self.wished < LASTING:
+        if wanted == self.target or now - self.wished < STABLE_SECONDS:
             return
         if now - self.changed < SETTLE:
             return
