--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -49,7 +49,7 @@
 # Seconds between two changes: an engine's change takes three, and the streams
 # that waited meanwhile are gone some seconds after that; with five a second
 # engine was given away as well, for streams that had waited for the first.
-SETTLE = 8.0
+SETTLE_SECONDS = 8.0
 # Engines of a service for each one by which the split may be off its target
 # while the load permits it: none of six, seven of 70.
 TOLERATED = 10
@@ -206,7 +206,7 @@
             self.wished = now
         if wanted == self.target or now - self.wished < STABLE_SECONDS:
             return
-        if now - self.changed < SETTLE:
+        if now - self.changed < SETTLE_SECONDS:
             return
         self.target = wanted
         self.changed = now
