--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -52,7 +52,7 @@
 SETTLE_SECONDS = 8.0
 # Engines of a service for each one by which the split may be off its target
 # while the load permits it: none of six, seven of 70.
-TOLERATED = 10
+ENGINES_PER_DEVIATION = 10
 # Seconds without any traffic after which the split is that of a start.
 IDLE = 5.0
 
@@ -192,7 +192,7 @@
         within 3.5 s, and were away for 7 s.
         """
         moved = current - self.target
-        if current < 1 or abs(moved) > engines // TOLERATED:
+        if current < 1 or abs(moved) > engines // ENGINES_PER_DEVIATION:
             return False
         if moved < 0:
             return self.streams <= FULL_FRACTION * current
@@ -391,7 +391,7 @@
     had one engine (1,000 of the 1,112 requests of 2 s refused, seen in the
     logs of nine nodes). A lost one that generates is still replaced at once.
     """
-    most = max(1, len(engines) // TOLERATED)
+    most = max(1, len(engines) // ENGINES_PER_DEVIATION)
     for engine in engines:
         if engine.changing:
             most -= 1
