--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -54,7 +54,7 @@
 # while the load permits it: none of six, seven of 70.
 ENGINES_PER_DEVIATION = 10
 # Seconds without any traffic after which the split is that of a start.
-IDLE = 5.0
+IDLE_SECONDS = 5.0
 
 
 class EngineView(NamedTuple):
@@ -134,7 +134,7 @@
         if len(engines) < 2:
             return []
         current = generating(engines)
-        if now - self.busy > IDLE:
+        if now - self.busy > IDLE_SECONDS:
             self.target = initial(len(engines), load.moving)
         elif self.target is None:
             self.find(engines, now)
@@ -145,7 +145,7 @@
         self.follow(len(engines), now)
         self.target = max(1, min(self.target, len(engines) - 1))
         found = changes(engines, self.target)
-        if now - self.busy <= IDLE:
+        if now - self.busy <= IDLE_SECONDS:
             found = few_at_once(found, engines)
         self.remember(engines, found)
         return found
