--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -137,7 +137,7 @@
         if now - self.busy > IDLE_SECONDS:
             self.target = initial(len(engines), load.moving)
         elif self.target is None:
-            self.find(engines, now)
+            self.adopt_current(engines, now)
         elif self.tolerable(current, len(engines)):
             self.target = current
         else:
@@ -150,7 +150,7 @@
         self.remember(engines, found)
         return found
 
-    def find(self, engines: list[EngineView], now: float) -> None:
+    def adopt_current(self, engines: list[EngineView], now: float) -> None:
         """Takes the split that another node has left as it is.
 
         What that node has ordered shows after the change, which takes three
