--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -141,7 +141,7 @@
         elif self.tolerable(current, len(engines)):
             self.target = current
         else:
-            self.target += self.changed_by_others(engines)
+            self.target += self.count_foreign_changes(engines)
         self.follow(len(engines), now)
         self.target = max(1, min(self.target, len(engines) - 1))
         found = changes(engines, self.target)
@@ -160,7 +160,7 @@
         if any(engine.changing for engine in engines):
             self.changed = now
 
-    def changed_by_others(self, engines: list[EngineView]) -> int:
+    def count_foreign_changes(self, engines: list[EngineView]) -> int:
         """Counts engines that generate now by another node's order.
 
         Taken for a fault of the split, the change that a holder of authority
