--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -147,7 +147,7 @@
         found = changes(engines, self.target)
         if now - self.busy <= IDLE_SECONDS:
             found = few_at_once(found, engines)
-        self.remember(engines, found)
+        self.record_roles(engines, found)
         return found
 
     def adopt_current(self, engines: list[EngineView], now: float) -> None:
@@ -176,7 +176,7 @@
             found += -1 if engine.role == types.Role.PREFILL else 1
         return found
 
-    def remember(
+    def record_roles(
         self, engines: list[EngineView], ordered: list[Change]
     ) -> None:
         """Keeps the roles that are seen, and which engines got an order."""
