--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -138,7 +138,7 @@
             self.target = initial(len(engines), load.moving)
         elif self.target is None:
             self.adopt_current(engines, now)
-        elif self.tolerable(current, len(engines)):
+        elif self.is_tolerable(current, len(engines)):
             self.target = current
         else:
             self.target += self.count_foreign_changes(engines)
@@ -184,7 +184,7 @@
         self.roles = {engine.name: engine.role for engine in engines}
         self.ordered &= self.roles.keys()
 
-    def tolerable(self, current: int, engines: int) -> bool:
+    def is_tolerable(self, current: int, engines: int) -> bool:
         """Whether a split that engines brought about may stay.
 
         Engines that crash come back, and new ones generate at first: with
