--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -191,10 +191,10 @@
         18 of 70 engines lost for 2 s, six were ordered one way and the other
         within 3.5 s, and were away for 7 s.
         """
-        moved = current - self.target
-        if current < 1 or abs(moved) > engines // ENGINES_PER_DEVIATION:
+        deviation = current - self.target
+        if current < 1 or abs(deviation) > engines // ENGINES_PER_DEVIATION:
             return False
-        if moved < 0:
+        if deviation < 0:
             return self.streams <= FULL_FRACTION * current
         return self.spare(max(1, engines - current))
 
