--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -142,7 +142,7 @@
             self.target = current
         else:
             self.target += self.count_foreign_changes(engines)
-        self.follow(len(engines), now)
+        self.update_target(len(engines), now)
         self.target = max(1, min(self.target, len(engines) - 1))
         found = changes(engines, self.target)
         if now - self.busy <= IDLE_SECONDS:
@@ -198,7 +198,7 @@
             return self.streams <= FULL_FRACTION * current
         return self.spare(max(1, engines - current))
 
-    def follow(self, engines: int, now: float) -> None:
+    def update_target(self, engines: int, now: float) -> None:
         """Moves the target once a load has asked for that long enough."""
         wanted = self.wanted(engines)
         if wanted != self.wish:
