--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -200,7 +200,7 @@
 
     def update_target(self, engines: int, now: float) -> None:
         """Moves the target once a load has asked for that long enough."""
-        wanted = self.wanted(engines)
+        wanted = self.desired_decoders(engines)
         if wanted != self.wish:
             self.wish = wanted
             self.wished = now
@@ -222,7 +222,7 @@
         self.streams += weight * (load.streams - self.streams)
         self.demand += weight * (load.demand - self.demand)
 
-    def wanted(self, engines: int) -> int:
+    def desired_decoders(self, engines: int) -> int:
         """How many engines the load wants to generate."""
         current = self.target
         step = max(1, engines // 10)
