--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -200,15 +200,15 @@
 
     def update_target(self, engines: int, now: float) -> None:
         """Moves the target once a load has asked for that long enough."""
-        wanted = self.desired_decoders(engines)
-        if wanted != self.wish:
-            self.wish = wanted
+        desired = self.desired_decoders(engines)
+        if desired != self.wish:
+            self.wish = desired
             self.wished = now
-        if wanted == self.target or now - self.wished < STABLE_SECONDS:
+        if desired == self.target or now - self.wished < STABLE_SECONDS:
             return
         if now - self.changed < SETTLE_SECONDS:
             return
-        self.target = wanted
+        self.target = desired
         self.changed = now
 
     def observe(self, load: Load, now: float) -> None:
