--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -117,7 +117,7 @@
         self.busy = -math.inf
         self.changed = -math.inf
         self.target: int | None = None
-        self.wish = 0
+        self.desired = 0
         self.wished = -math.inf
         self.roles: dict[str, types.Role] = {}
         self.ordered: set[str] = set()
@@ -201,8 +201,8 @@
     def update_target(self, engines: int, now: float) -> None:
         """Moves the target once a load has asked for that long enough."""
         desired = self.desired_decoders(engines)
-        if desired != self.wish:
-            self.wish = desired
+        if desired != self.desired:
+            self.desired = desired
             self.wished = now
         if desired == self.target or now - self.wished < STABLE_SECONDS:
             return
