--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -118,7 +118,7 @@
         self.changed = -math.inf
         self.target: int | None = None
         self.desired = 0
-        self.wished = -math.inf
+        self.desired_since = -math.inf
         self.roles: dict[str, types.Role] = {}
         self.ordered: set[str] = set()
 
@@ -203,8 +203,8 @@
         desired = self.desired_decoders(engines)
         if desired != self.desired:
             self.desired = desired
-            self.wished = now
-        if desired == self.target or now - self.wished < STABLE_SECONDS:
+            self.desired_since = now
+        if desired == self.target or now - self.desired_since < STABLE_SECONDS:
             return
         if now - self.changed < SETTLE_SECONDS:
             return
