--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -113,7 +113,7 @@
         self.prompts = 0.0
         self.streams = 0.0
         self.demand = 0.0
-        self.seen: float | None = None
+        self.observed_at: float | None = None
         self.busy = -math.inf
         self.changed = -math.inf
         self.target: int | None = None
@@ -215,8 +215,10 @@
         """Takes the load in, smoothed."""
         if load.prompts > 0 or load.streams > 0:
             self.busy = now
-        passed = now - self.seen if self.seen is not None else math.inf
-        self.seen = now
+        passed = (
+            now - self.observed_at if self.observed_at is not None else math.inf
+        )
+        self.observed_at = now
         weight = 1 - math.exp(-passed / SMOOTHING_SECONDS)
         self.prompts += weight * (load.prompts - self.prompts)
         self.streams += weight * (load.streams - self.streams)
