--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -114,7 +114,7 @@
         self.streams = 0.0
         self.demand = 0.0
         self.observed_at: float | None = None
-        self.busy = -math.inf
+        self.busy_at = -math.inf
         self.changed = -math.inf
         self.target: int | None = None
         self.desired = 0
@@ -134,7 +134,7 @@
         if len(engines) < 2:
             return []
         current = generating(engines)
-        if now - self.busy > IDLE_SECONDS:
+        if now - self.busy_at > IDLE_SECONDS:
             self.target = initial(len(engines), load.moving)
         elif self.target is None:
             self.adopt_current(engines, now)
@@ -145,7 +145,7 @@
         self.update_target(len(engines), now)
         self.target = max(1, min(self.target, len(engines) - 1))
         found = changes(engines, self.target)
-        if now - self.busy <= IDLE_SECONDS:
+        if now - self.busy_at <= IDLE_SECONDS:
             found = few_at_once(found, engines)
         self.record_roles(engines, found)
         return found
@@ -214,7 +214,7 @@
     def observe(self, load: Load, now: float) -> None:
         """Takes the load in, smoothed."""
         if load.prompts > 0 or load.streams > 0:
-            self.busy = now
+            self.busy_at = now
         passed = (
             now - self.observed_at if self.observed_at is not None else math.inf
         )
