--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -115,7 +115,7 @@
         self.demand = 0.0
         self.observed_at: float | None = None
         self.busy_at = -math.inf
-        self.changed = -math.inf
+        self.changed_at = -math.inf
         self.target: int | None = None
         self.desired = 0
         self.desired_since = -math.inf
@@ -158,7 +158,7 @@
         """
         self.target = generating(engines)
         if any(engine.changing for engine in engines):
-            self.changed = now
+            self.changed_at = now
 
     def count_foreign_changes(self, engines: list[EngineView]) -> int:
         """Counts engines that generate now by another node's order.
@@ -206,10 +206,10 @@
             self.desired_since = now
         if desired == self.target or now - self.desired_since < STABLE_SECONDS:
             return
-        if now - self.changed < SETTLE_SECONDS:
+        if now - self.changed_at < SETTLE_SECONDS:
             return
         self.target = desired
-        self.changed = now
+        self.changed_at = now
 
     def observe(self, load: Load, now: float) -> None:
         """Takes the load in, smoothed."""
