--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -196,7 +196,7 @@
             return False
         if deviation < 0:
             return self.streams <= FULL_FRACTION * current
-        return self.spare(max(1, engines - current))
+        return self.has_spare_prefill(max(1, engines - current))
 
     def update_target(self, engines: int, now: float) -> None:
         """Moves the target once a load has asked for that long enough."""
@@ -232,7 +232,7 @@
         more = min(current + step, enough, engines - 1)
         if more > current and self.streams > FULL_FRACTION * current:
             overfull = self.streams > OVERFULL_FRACTION * current
-            if self.spare(engines - more):
+            if self.has_spare_prefill(engines - more):
                 return more
             if overfull and self.better(more, current, engines):
                 return more
@@ -243,7 +243,7 @@
         fewer = max(1, current - step)
         return fewer if self.better(fewer, current, engines) else current
 
-    def spare(self, readers: int) -> bool:
+    def has_spare_prefill(self, readers: int) -> bool:
         """Whether so many readers have time to spare."""
         return (
             self.prompts / readers < SPARE_SECONDS
