--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -243,11 +243,11 @@
         fewer = max(1, current - step)
         return fewer if self.better(fewer, current, engines) else current
 
-    def has_spare_prefill(self, readers: int) -> bool:
+    def has_spare_prefill(self, prefill_engines: int) -> bool:
         """Whether so many readers have time to spare."""
         return (
-            self.prompts / readers < SPARE_SECONDS
-            and self.demand / readers < BUSY_FRACTION
+            self.prompts / prefill_engines < SPARE_SECONDS
+            and self.demand / prefill_engines < BUSY_FRACTION
         )
 
     def pressed(self, readers: int) -> bool:
