--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -236,7 +236,7 @@
                 return more
             if overfull and self.better(more, current, engines):
                 return more
-        if not self.pressed(max(1, engines - current)):
+        if not self.is_prefill_overloaded(max(1, engines - current)):
             return current
         if enough < current:
             return enough
@@ -250,7 +250,7 @@
             and self.demand / prefill_engines < BUSY_FRACTION
         )
 
-    def pressed(self, readers: int) -> bool:
+    def is_prefill_overloaded(self, readers: int) -> bool:
         """Whether so many readers are too few."""
         return (
             self.prompts / readers > OVERLOADED_SECONDS
