--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -250,11 +250,11 @@
             and self.demand / prefill_engines < BUSY_FRACTION
         )
 
-    def is_prefill_overloaded(self, readers: int) -> bool:
+    def is_prefill_overloaded(self, prefill_engines: int) -> bool:
         """Whether so many readers are too few."""
         return (
-            self.prompts / readers > OVERLOADED_SECONDS
-            or self.demand / readers > BUSY_FRACTION
+            self.prompts / prefill_engines > OVERLOADED_SECONDS
+            or self.demand / prefill_engines > BUSY_FRACTION
         )
 
     def better(self, generators: int, other: int, engines: int) -> bool:
