--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -234,14 +234,14 @@
             overfull = self.streams > OVERFULL_FRACTION * current
             if self.has_spare_prefill(engines - more):
                 return more
-            if overfull and self.better(more, current, engines):
+            if overfull and self.is_better(more, current, engines):
                 return more
         if not self.is_prefill_overloaded(max(1, engines - current)):
             return current
         if enough < current:
             return enough
         fewer = max(1, current - step)
-        return fewer if self.better(fewer, current, engines) else current
+        return fewer if self.is_better(fewer, current, engines) else current
 
     def has_spare_prefill(self, prefill_engines: int) -> bool:
         """Whether so many readers have time to spare."""
@@ -257,7 +257,7 @@
             or self.demand / prefill_engines > BUSY_FRACTION
         )
 
-    def better(self, generators: int, other: int, engines: int) -> bool:
+    def is_better(self, generators: int, other: int, engines: int) -> bool:
         """Whether one split leaves less waiting than another one."""
         return self.pressure(generators, engines) < self.pressure(
             other, engines
