--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -257,11 +257,9 @@
             or self.demand / prefill_engines > BUSY_FRACTION
         )
 
-    def is_better(self, generators: int, other: int, engines: int) -> bool:
+    def is_better(self, decoders: int, other: int, engines: int) -> bool:
         """Whether one split leaves less waiting than another one."""
-        return self.pressure(generators, engines) < self.pressure(
-            other, engines
-        )
+        return self.pressure(decoders, engines) < self.pressure(other, engines)
 
     def pressure(self, generators: int, engines: int) -> float:
         """How far a split falls short of the load, on both sides together.
