--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -261,7 +261,7 @@
         """Whether one split leaves less waiting than another one."""
         return self.pressure(decoders, engines) < self.pressure(other, engines)
 
-    def pressure(self, generators: int, engines: int) -> float:
+    def pressure(self, decoders: int, engines: int) -> float:
         """How far a split falls short of the load, on both sides together.
 
         Either side alone took readers away at the height of a burst, when
@@ -273,7 +273,7 @@
             self.prompts / OVERLOADED_SECONDS, self.demand / BUSY_FRACTION
         )
         streams = self.streams / OVERFULL_FRACTION
-        return prompts / max(1, engines - generators) + streams / generators
+        return prompts / max(1, engines - decoders) + streams / decoders
 
 
 def stream_share(tokens: int, memory: int, slots: int) -> float:
