--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -133,7 +133,7 @@
         self.observe(load, now)
         if len(engines) < 2:
             return []
-        current = generating(engines)
+        current = count_decoders(engines)
         if now - self.busy_at > IDLE_SECONDS:
             self.target = initial(len(engines), load.moving)
         elif self.target is None:
@@ -156,7 +156,7 @@
         What that node has ordered shows after the change, which takes three
         seconds; until then no other change is wished for.
         """
-        self.target = generating(engines)
+        self.target = count_decoders(engines)
         if any(engine.changing for engine in engines):
             self.changed_at = now
 
@@ -290,7 +290,7 @@
     return max(tokens / max(1, memory), 1 / max(1, slots))
 
 
-def generating(engines: list[EngineView]) -> int:
+def count_decoders(engines: list[EngineView]) -> int:
     """Counts the engines that generate."""
     found = 0
     for engine in engines:
