--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -220,7 +220,7 @@
 
 @behave.then("{generators:d} of {engines:d} engines generate at a start")
 def step_initial(context, generators, engines):
-    found = stages.initial(engines, context.moving)
+    found = stages.initial_decoders(engines, context.moving)
     assert found == generators, (found, context.moving)
 
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -135,7 +135,7 @@
             return []
         current = count_decoders(engines)
         if now - self.busy_at > IDLE_SECONDS:
-            self.target = initial(len(engines), load.moving)
+            self.target = initial_decoders(len(engines), load.moving)
         elif self.target is None:
             self.adopt_current(engines, now)
         elif self.is_tolerable(current, len(engines)):
@@ -299,7 +299,7 @@
     return found
 
 
-def initial(engines: int, moving: float = 0.0) -> int:
+def initial_decoders(engines: int, moving: float = 0.0) -> int:
     """How many of so many engines generate before there is traffic.
 
     Nothing is cached then and most engines read, but links must take what
