--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -215,7 +215,7 @@
     "bytes a token and links of {gbits:d} Gbit/s"
 )
 def step_links(context, rate, size, gbits):
-    context.moving = stages.moving(size, gbits * 1e9 / 8, rate)
+    context.moving = stages.transfer_load(size, gbits * 1e9 / 8, rate)
 
 
 @behave.then("{generators:d} of {engines:d} engines generate at a start")
--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -320,7 +320,7 @@
     return found
 
 
-def moving(token_bytes: int, link_rate: float, rate: float) -> float:
+def transfer_load(token_bytes: int, link_rate: float, rate: float) -> float:
     """Links that one engine fills which reads prompts all the time.
 
     Args:
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -163,7 +163,7 @@
             prompts += self.homes.queued(replica.instance, now)
             streams += self.directory.streams.total(replica.instance, now)
         demand = self.homes.demand.total(service.name, now)
-        moving = stages.moving(
+        moving = stages.transfer_load(
             service.token_bytes, service.link_rate, self.homes.rate()
         )
         return stages.Load(prompts, streams, demand, moving)
