--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -144,7 +144,7 @@
             self.target += self.count_foreign_changes(engines)
         self.update_target(len(engines), now)
         self.target = max(1, min(self.target, len(engines) - 1))
-        found = changes(engines, self.target)
+        found = plan_changes(engines, self.target)
         if now - self.busy_at <= IDLE_SECONDS:
             found = few_at_once(found, engines)
         self.record_roles(engines, found)
@@ -339,7 +339,7 @@
     )
 
 
-def changes(engines: list[EngineView], wanted: int) -> list[Change]:
+def plan_changes(engines: list[EngineView], wanted: int) -> list[Change]:
     """Picks the engines to change.
 
     Engines that generate are spread over the data centres, so that a KV
