--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -346,10 +346,10 @@
     cache seldom has to leave its own.
     """
     decoders = []
-    readers = []
+    prefill_engines = []
     for engine in engines:
         if engine.role == types.Role.PREFILL:
-            readers.append(engine)
+            prefill_engines.append(engine)
         else:
             decoders.append(engine)
     found = []
@@ -360,9 +360,9 @@
         leaving = max(spare, key=lambda one: crowd(one, decoders))
         decoders.remove(leaving)
         found.append(Change(leaving.name, types.Role.PREFILL))
-    while len(decoders) < wanted and readers:
-        joining = min(readers, key=lambda one: joins(one, decoders))
-        readers.remove(joining)
+    while len(decoders) < wanted and prefill_engines:
+        joining = min(prefill_engines, key=lambda one: joins(one, decoders))
+        prefill_engines.remove(joining)
         decoders.append(joining)
         found.append(Change(joining.name, types.Role.DECODE))
     return found
