--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -339,7 +339,7 @@
     )
 
 
-def plan_changes(engines: list[EngineView], wanted: int) -> list[Change]:
+def plan_changes(engines: list[EngineView], desired: int) -> list[Change]:
     """Picks the engines to change.
 
     Engines that generate are spread over the data centres, so that a KV
@@ -353,14 +353,14 @@
         else:
             decoders.append(engine)
     found = []
-    while len(decoders) > wanted:
+    while len(decoders) > desired:
         spare = spared(decoders)
         if not spare:
             break
         leaving = max(spare, key=lambda one: crowd(one, decoders))
         decoders.remove(leaving)
         found.append(Change(leaving.name, types.Role.PREFILL))
-    while len(decoders) < wanted and prefill_engines:
+    while len(decoders) < desired and prefill_engines:
         joining = min(prefill_engines, key=lambda one: joins(one, decoders))
         prefill_engines.remove(joining)
         decoders.append(joining)
