--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -354,7 +354,7 @@
             decoders.append(engine)
     found = []
     while len(decoders) > desired:
-        spare = spared(decoders)
+        spare = removable(decoders)
         if not spare:
             break
         leaving = max(spare, key=lambda one: crowd(one, decoders))
@@ -368,7 +368,7 @@
     return found
 
 
-def spared(decoders: list[EngineView]) -> list[EngineView]:
+def removable(decoders: list[EngineView]) -> list[EngineView]:
     """The engines of which one may stop generating.
 
     The last one that surely generates stays: one that still changes may have
