--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -377,8 +377,8 @@
     for 10 s, and 314 to 317 in 1,000 requests of the day were refused (18
     nodes, four of five plays).
     """
-    steady = [engine for engine in decoders if not engine.changing]
-    if len(steady) > 1:
+    unchanging = [engine for engine in decoders if not engine.changing]
+    if len(unchanging) > 1:
         return decoders
     return [engine for engine in decoders if engine.changing]
 
