--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -146,7 +146,7 @@
         self.target = max(1, min(self.target, len(engines) - 1))
         found = plan_changes(engines, self.target)
         if now - self.busy_at <= IDLE_SECONDS:
-            found = few_at_once(found, engines)
+            found = limit_changes(found, engines)
         self.record_roles(engines, found)
         return found
 
@@ -383,7 +383,9 @@
     return [engine for engine in decoders if engine.changing]
 
 
-def few_at_once(found: list[Change], engines: list[EngineView]) -> list[Change]:
+def limit_changes(
+    found: list[Change], engines: list[EngineView]
+) -> list[Change]:
     """Puts off changes that only free engines which generate, but for a few.
 
     Engines that crash come back generating. With all of them ordered to read
