--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -393,15 +393,15 @@
     had one engine (1,000 of the 1,112 requests of 2 s refused, seen in the
     logs of nine nodes). A lost one that generates is still replaced at once.
     """
-    most = max(1, len(engines) // ENGINES_PER_DEVIATION)
+    limit = max(1, len(engines) // ENGINES_PER_DEVIATION)
     for engine in engines:
         if engine.changing:
-            most -= 1
+            limit -= 1
     kept = []
     for change in found:
         if change.role == types.Role.PREFILL:
-            most -= 1
-            if most < 0:
+            limit -= 1
+            if limit < 0:
                 continue
         kept.append(change)
     return kept
