--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -361,7 +361,9 @@
         decoders.remove(leaving)
         found.append(Change(leaving.name, types.Role.PREFILL))
     while len(decoders) < desired and prefill_engines:
-        joining = min(prefill_engines, key=lambda one: joins(one, decoders))
+        joining = min(
+            prefill_engines, key=lambda one: join_order(one, decoders)
+        )
         prefill_engines.remove(joining)
         decoders.append(joining)
         found.append(Change(joining.name, types.Role.DECODE))
@@ -407,7 +409,7 @@
     return kept
 
 
-def joins(
+def join_order(
     engine: EngineView, decoders: list[EngineView]
 ) -> tuple[float, int, str]:
     """Sorts engines by which is to generate next.
