--- a/packages/gypsumfold/src/gypsumfold/decisions/stages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/stages.py
@@ -357,7 +357,7 @@
         spare = removable(decoders)
         if not spare:
             break
-        leaving = max(spare, key=lambda one: crowd(one, decoders))
+        leaving = max(spare, key=lambda one: crowding(one, decoders))
         decoders.remove(leaving)
         found.append(Change(leaving.name, types.Role.PREFILL))
     while len(decoders) < desired and prefill_engines:
@@ -418,10 +418,10 @@
     changes its role only after that.
     """
     waiting = 0.0 if decoders else round(engine.waiting, 1)
-    return waiting, *crowd(engine, decoders)
+    return waiting, *crowding(engine, decoders)
 
 
-def crowd(engine: EngineView, decoders: list[EngineView]) -> tuple[int, str]:
+def crowding(engine: EngineView, decoders: list[EngineView]) -> tuple[int, str]:
     """Sorts engines by how many decoders share their data centre."""
     near = 0
     for other in decoders:
