--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -345,7 +345,7 @@
 def step_silent(context, seconds):
     found = []
     for number in range(int(seconds * 10) + 1):
-        found = context.silence.look(number / 10)
+        found = context.silence.check(number / 10)
     assert found == ["engine-1"], found
 
 
@@ -353,8 +353,8 @@
     "it is not silent when the node itself stood still for {seconds:d} seconds"
 )
 def step_stood(context, seconds):
-    assert context.silence.look(0.5 + seconds) == []
-    assert context.silence.look(0.6 + seconds) == []
+    assert context.silence.check(0.5 + seconds) == []
+    assert context.silence.check(0.6 + seconds) == []
 
 
 @behave.given('routes "/a/", "/a/b/" and one split 90 to 10')
--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -274,7 +274,7 @@
     planner.pending[ORDERED] = planning.Pending(types.Role.DECODE, 200.0)
     plan(context)
     # The change before was long enough ago for another one.
-    planner.splits["lm"].changed = context.now - stages.SETTLE_SECONDS
+    planner.splits["lm"].changed_at = context.now - stages.SETTLE_SECONDS
 
 
 def plan(context):
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -164,7 +164,7 @@
         "failing": not directory.health.is_allowed(ENGINE, now),
         "streams": directory.streams.total(ENGINE, now) > 0,
         "silent": ENGINE in directory.suspects,
-        "owing": ENGINE in directory.silence.since,
+        "owing": ENGINE in directory.silence.last_byte_at,
         "leaving": ENGINE in directory.leaving,
         "cached": context.homes.caches.cached(ENGINE, CHAIN, "m") > 0,
         "ordered": ENGINE in context.planner.pending,
