--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -3,8 +3,8 @@
 from typing import NamedTuple
 
 from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import load_deltas
 from gypsumfold.decisions import shares
-from gypsumfold.decisions import sums
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway.peers import messages
 
@@ -15,10 +15,10 @@
 class Teller(NamedTuple):
     """What is to be told of each sort of work."""
 
-    prompts: sums.DeltaEncoder
-    streams: sums.DeltaEncoder
-    late: sums.DeltaEncoder
-    demand: sums.DeltaEncoder
+    prompts: load_deltas.DeltaEncoder
+    streams: load_deltas.DeltaEncoder
+    late: load_deltas.DeltaEncoder
+    demand: load_deltas.DeltaEncoder
 
     def changed(self, amounts: messages.Amounts) -> messages.Sums:
         """What is new since the last time, and a part of the rest."""
@@ -33,10 +33,10 @@
 class Listener(NamedTuple):
     """What one teller has told of each sort of work."""
 
-    prompts: sums.DeltaDecoder
-    streams: sums.DeltaDecoder
-    late: sums.DeltaDecoder
-    demand: sums.DeltaDecoder
+    prompts: load_deltas.DeltaDecoder
+    streams: load_deltas.DeltaDecoder
+    late: load_deltas.DeltaDecoder
+    demand: load_deltas.DeltaDecoder
 
     def hear(self, changed: messages.Sums, now: float) -> None:
         """Takes in what the teller told."""
@@ -58,20 +58,20 @@
 def teller() -> Teller:
     """Makes one that has told nothing."""
     return Teller(
-        sums.DeltaEncoder(),
-        sums.DeltaEncoder(),
-        sums.DeltaEncoder(),
-        sums.DeltaEncoder(),
+        load_deltas.DeltaEncoder(),
+        load_deltas.DeltaEncoder(),
+        load_deltas.DeltaEncoder(),
+        load_deltas.DeltaEncoder(),
     )
 
 
 def listener() -> Listener:
     """Makes one that has heard nothing."""
     return Listener(
-        sums.DeltaDecoder(),
-        sums.DeltaDecoder(),
-        sums.DeltaDecoder(),
-        sums.DeltaDecoder(),
+        load_deltas.DeltaDecoder(),
+        load_deltas.DeltaDecoder(),
+        load_deltas.DeltaDecoder(),
+        load_deltas.DeltaDecoder(),
     )
 
 
@@ -163,10 +163,10 @@
 ) -> messages.Amounts:
     """What is left of sums without a node's own part of them."""
     return messages.Amounts(
-        sums.subtract(amounts.prompts, own.prompts),
-        sums.subtract(amounts.streams, own.streams),
-        sums.subtract(amounts.late, own.late),
-        sums.subtract(amounts.demand, own.demand),
+        load_deltas.subtract(amounts.prompts, own.prompts),
+        load_deltas.subtract(amounts.streams, own.streams),
+        load_deltas.subtract(amounts.late, own.late),
+        load_deltas.subtract(amounts.demand, own.demand),
     )
 
 
