--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 from typing import Protocol
 
-from gypsumfold.decisions import swings as swings_module
+from gypsumfold.decisions import mix_duration as mix_duration_module
 from gypsumfold.decisions import types
 
 # A gain must exceed the cost by this factor: demand is measured over two
@@ -117,7 +117,7 @@
     ):
         self.rates = rates
         self.costs = costs
-        self.mix_duration = swings_module.MixDuration(now)
+        self.mix_duration = mix_duration_module.MixDuration(now)
 
     def plan(
         self, engines: list[Engine], demand: types.Demand, now: float
