--- a/packages/gypsumfold/src/gypsumfold/decisions/census.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/census.py
@@ -7,8 +7,8 @@
 
 import math
 
+from gypsumfold.decisions import member_entries as member_entries_module
 from gypsumfold.decisions import members as members_module
-from gypsumfold.decisions import roster as roster_module
 
 # Seconds of silence after which a node does not count as heard; also for how
 # long the largest number that was told counts.
@@ -36,7 +36,7 @@
     def __init__(
         self,
         members: members_module.Members,
-        member_entries: roster_module.MemberEntries,
+        member_entries: member_entries_module.MemberEntries,
     ):
         self.members = members
         self.member_entries = member_entries
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -11,8 +11,8 @@
 from gypsumfold import clocks
 from gypsumfold import events
 from gypsumfold import exceptions
+from gypsumfold.decisions import member_entries as member_entries_module
 from gypsumfold.decisions import members as members_module
-from gypsumfold.decisions import roster as roster_module
 from gypsumfold.gateway import leadership as leadership_module
 from gypsumfold.gateway.peers import messages
 from gypsumfold.platform import names
@@ -76,7 +76,7 @@
         self.members = members
         self.mesh = mesh
         self.clock = clock
-        self.roster = roster_module.MemberEntries()
+        self.roster = member_entries_module.MemberEntries()
         self.read = False
         self.entered = False
         self.delayed = False
@@ -252,7 +252,10 @@
         if stood_still or not site.removes():
             self.listening_since = now
             return
-        if now - self.listening_since >= roster_module.SUSPECT_AFTER_SECONDS:
+        if (
+            now - self.listening_since
+            >= member_entries_module.SUSPECT_AFTER_SECONDS
+        ):
             await self.suspect(site)
         await self.remove(site)
 
