--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -19,9 +19,9 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.decisions import bandwidth
-from gypsumfold.decisions import census as census_module
 from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import members as members_module
+from gypsumfold.decisions import node_count as node_count_module
 from gypsumfold.decisions import relays as relays_module
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import directory as directory_module
@@ -120,7 +120,9 @@
         )
         self.entries.many = self.leave_mesh
         self.entries.drop = self.drop
-        self.census = census_module.NodeCount(self.members, self.entries.roster)
+        self.census = node_count_module.NodeCount(
+            self.members, self.entries.roster
+        )
         self.summaries = summaries_module.Summaries(
             self.relaying,
             self.loads,
@@ -545,7 +547,7 @@
     def sharing(self) -> int:
         """Counts the nodes that share what the site has once; 0 if unknown."""
         known_for = self.clock() - self.entries.roster.first_read_at
-        if known_for < census_module.STARTUP_SECONDS:
+        if known_for < node_count_module.STARTUP_SECONDS:
             return 0
         if self.follows() and not self.census.received:
             return 0
