--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -14,8 +14,8 @@
 
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import births
 from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import incarnations
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import types
@@ -97,11 +97,11 @@
     def learn(self, caches: questions_module.CacheLinks) -> None:
         """Takes in what the relay believes that one engine keeps."""
         replica = self.directory.replicas.get(caches.engine)
-        if replica is None or births.is_later_start(
+        if replica is None or incarnations.is_later_start(
             caches.born, replica.started_at
         ):
             return
-        if births.is_later_start(replica.started_at, caches.born):
+        if incarnations.is_later_start(replica.started_at, caches.born):
             return
         service = self.service(replica)
         if service is None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -12,8 +12,8 @@
 
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import births as births_module
 from gypsumfold.decisions import health
+from gypsumfold.decisions import incarnations as incarnations_module
 from gypsumfold.decisions import shares
 from gypsumfold.decisions import silence as silence_module
 from gypsumfold.decisions import types as decision_types
@@ -71,14 +71,14 @@
         self.generating: dict[str, float] = {}
         self.health = health.Health(rng)
         self.gone = []
-        self.births = births_module.Incarnations()
+        self.births = incarnations_module.Incarnations()
 
     def put(self, replica: types.Replica) -> None:
         """Takes a registration in; a late one of an earlier start is none."""
         if not self.births.observe(replica.instance, replica.started_at):
             return
         old = self.replicas.get(replica.instance)
-        if old is not None and births_module.is_later_start(
+        if old is not None and incarnations_module.is_later_start(
             replica.started_at, old.started_at
         ):
             self.restarted(old, replica.started_at)
@@ -112,7 +112,7 @@
         if not self.births.observe(instance, state.started_at):
             return False
         replica = self.replicas.get(instance)
-        if replica is None or not births_module.is_later_start(
+        if replica is None or not incarnations_module.is_later_start(
             state.started_at, replica.started_at
         ):
             return True
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -6,8 +6,8 @@
 
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import births
 from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import incarnations
 from gypsumfold.decisions import stages
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import configurations as configurations_module
@@ -272,7 +272,9 @@
                     reason=repr(error),
                 )
                 continue
-            if births.is_later_start(state.started_at, replica.started_at):
+            if incarnations.is_later_start(
+                state.started_at, replica.started_at
+            ):
                 # It has started again and knows of no order.
                 self.directory.said(replica.instance, state)
                 return
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -8,8 +8,8 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold import outcomes
-from gypsumfold.decisions import births
 from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import incarnations
 from gypsumfold.decisions import routes
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import fingerprints
@@ -255,7 +255,7 @@
         if handle is None:
             return
         replica = self.directory.replicas.get(handle.engine)
-        if replica is None or not births.is_later_start(
+        if replica is None or not incarnations.is_later_start(
             replica.started_at, handle.started_at
         ):
             return
