--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -14,7 +14,7 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.decisions import polling
-from gypsumfold.decisions import reads
+from gypsumfold.decisions import read_timeouts
 from gypsumfold.gateway import watching
 from gypsumfold.platform import names
 from gypsumfold.platform import store as store_module
@@ -186,10 +186,10 @@
     "which its connection falls silent"
 )
 def step_bound(context, longest, contact):
-    bounds = reads.derive(contact)
+    bounds = read_timeouts.derive(contact)
     for step in range(int(longest * 20) + 1):
         pause = min(step / 20, bounds.wait)
-        wait = reads.wait_after(pause, 100.0, bounds)
+        wait = read_timeouts.wait_after(pause, 100.0, bounds)
         for chance in (0.0, 0.5, 1.0):
             took = wait + bounds.answer
             retry = polling.retry_delay(1, chance, took)
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -11,7 +11,7 @@
 from gypsumfold import clocks
 from gypsumfold.decisions import following
 from gypsumfold.decisions import members
-from gypsumfold.decisions import reads as reads_module
+from gypsumfold.decisions import read_timeouts as read_timeouts_module
 from gypsumfold.decisions import registry
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import knowledge
@@ -383,7 +383,7 @@
         *watches,
         reads,
         mock.Mock(),
-        reads_module.derive(contact=3.0),
+        read_timeouts_module.derive(contact=3.0),
     )
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -20,7 +20,7 @@
 from gypsumfold.decisions import budgets
 from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import polling
-from gypsumfold.decisions import reads
+from gypsumfold.decisions import read_timeouts
 from gypsumfold.gateway import cache_lists
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import connections
@@ -88,7 +88,7 @@
         self.store = store_module.Store(settings.store.address)
         self.logged_calls: collections.Counter[str] = collections.Counter()
         self.logged_bytes: collections.Counter[str] = collections.Counter()
-        self.limits = reads.derive(settings.store.contact_ms / 1000)
+        self.limits = read_timeouts.derive(settings.store.contact_ms / 1000)
         self.store_state = watching.StoreState(settings.store.contact_ms / 1000)
         rng = random.Random()
         self.directory = directory_module.Directory(rng)
@@ -248,7 +248,7 @@
         if not self.gossip.meshed:
             bound = self.settings.replicas.leaving_ms / 1000
             longest = min(longest, registrations_module.READER_SHARE * bound)
-        return reads.wait_after(
+        return read_timeouts.wait_after(
             self.registrations_pause(), longest, self.limits
         )
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -13,7 +13,7 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.decisions import following
-from gypsumfold.decisions import reads as reads_module
+from gypsumfold.decisions import read_timeouts as read_timeouts_module
 from gypsumfold.decisions import registry as registry_module
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import registrations as registrations_module
@@ -46,7 +46,7 @@
         configuration_watch: watching.Watch,
         reads: Callable[[], bool],
         questions: questions_module.Questions,
-        limits: reads_module.ReadTimeouts,
+        limits: read_timeouts_module.ReadTimeouts,
     ):
         self.limits = limits
         self.registrations = registrations
