--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -9,10 +9,10 @@
 from features.support import relay_site
 
 from gypsumfold import clocks
-from gypsumfold.decisions import following
 from gypsumfold.decisions import members
 from gypsumfold.decisions import read_timeouts as read_timeouts_module
 from gypsumfold.decisions import registry
+from gypsumfold.decisions import topic_staleness
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import knowledge
 from gypsumfold.gateway import registrations as registrations_module
@@ -333,7 +333,7 @@
 
 @behave.given("a bound of {seconds:g} seconds")
 def step_bound(context, seconds):
-    context.following = following.TopicStaleness(seconds)
+    context.following = topic_staleness.TopicStaleness(seconds)
     context.following.confirm(100.0)
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -12,9 +12,9 @@
 from gypsumfold import clocks
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import following
 from gypsumfold.decisions import read_timeouts as read_timeouts_module
 from gypsumfold.decisions import registry as registry_module
+from gypsumfold.decisions import topic_staleness
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import registrations as registrations_module
 from gypsumfold.gateway import watching
@@ -96,7 +96,7 @@
         age = watch.following.age(now)
         if age > self.limits.max_age:
             return True
-        longest = following.MAX_AGE_FRACTION * watch.following.bound
+        longest = topic_staleness.MAX_AGE_FRACTION * watch.following.bound
         return now - self.registrations_watch.alone_at < longest < age
 
     def outgoing(self, between: bool) -> messages.Knowledge | None:
@@ -253,7 +253,7 @@
 
 
 def sent_age(
-    known: following.TopicStaleness, now: float, between: bool
+    known: topic_staleness.TopicStaleness, now: float, between: bool
 ) -> float:
     """The age of what is known, as it is sent."""
     known_at = known.read_at if between else known.known_at
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -11,8 +11,8 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.decisions import contact as contact_module
-from gypsumfold.decisions import following as following_module
 from gypsumfold.decisions import polling
+from gypsumfold.decisions import topic_staleness as topic_staleness_module
 from gypsumfold.platform import store as store_module
 
 # Seconds until all keys are read again, in case a record was missed.
@@ -135,7 +135,7 @@
         self.position = 0
         self.whole_at = -math.inf
         self.doubted = False
-        self.following = following_module.TopicStaleness(bound)
+        self.following = topic_staleness_module.TopicStaleness(bound)
         self.alone_at = -math.inf
         self.needed: Callable[[], bool] = lambda: True
         self.reads: Callable[[], bool] = lambda: True
@@ -268,6 +268,8 @@
             self.state.answered()
 
 
-def rounded_age(known: following_module.TopicStaleness, now: float) -> float:
+def rounded_age(
+    known: topic_staleness_module.TopicStaleness, now: float
+) -> float:
     """The age of what is known, for a log line."""
     return round(min(known.age(now), MOST_AGE), 3)
