--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -16,7 +16,7 @@
 from gypsumfold import configuration as configuration_module
 from gypsumfold import settings as settings_module
 from gypsumfold import snapshots
-from gypsumfold.decisions import freshness as freshness_module
+from gypsumfold.decisions import config_freshness as config_freshness_module
 from gypsumfold.logservice import logs
 from gypsumfold.logservice import records
 from gypsumfold.operators import language
@@ -315,7 +315,7 @@
     """Random histories: fresh implies level with all that was just heard."""
     choice = random.Random(9)
     for _ in range(200):
-        freshness = freshness_module.ConfigFreshness()
+        freshness = config_freshness_module.ConfigFreshness()
         heard_log = None
         vouched = 0.0
         peers = {}
@@ -329,9 +329,9 @@
             for name in "xyz":
                 if choice.random() < 0.2:
                     known = choice.choice([-1, 3, 4])
-                    peers[name] = freshness_module.PeerView(known, now)
+                    peers[name] = config_freshness_module.PeerView(known, now)
             revision = max(revision, choice.choice([-1, 3, 4]))
-            view = freshness_module.View(
+            view = config_freshness_module.View(
                 revision, log_read, heard_log, tuple(peers.values())
             )
             started = freshness.fresh
@@ -342,12 +342,12 @@
             if not started:
                 check_started(view, now)
                 vouched = now
-            assert now - vouched <= freshness_module.SETTLE_SECONDS, view
+            assert now - vouched <= config_freshness_module.SETTLE_SECONDS, view
 
 
 def near(view, now):
     """The peers heard lately, and whether the log was."""
-    limit = freshness_module.CUT_OFF_SECONDS
+    limit = config_freshness_module.CUT_OFF_SECONDS
     log_up = view.log_heard is not None and now - view.log_heard <= limit
     return [p for p in view.peers if now - p.heard <= limit], log_up
 
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -16,7 +16,7 @@
 from gypsumfold import exceptions
 from gypsumfold import settings as settings_module
 from gypsumfold import snapshots
-from gypsumfold.decisions import freshness as freshness_module
+from gypsumfold.decisions import config_freshness as config_freshness_module
 from gypsumfold.logservice import logs
 from gypsumfold.logservice import records
 from gypsumfold.operators import publishing
@@ -76,7 +76,7 @@
         self.peers = peers
         self.publisher = publisher
         self.incarnation = incarnation
-        self.freshness = freshness_module.ConfigFreshness()
+        self.freshness = config_freshness_module.ConfigFreshness()
         self.looked = 0.0
         self.served: tuple[int, bytes] = (-1, b"")
         peers.handle("config.pull", thrift.ConfigPull, self.serve)
@@ -150,9 +150,9 @@
         peers = []
         for peer in self.peers.known():
             peers.append(
-                freshness_module.PeerView(peer.revision, peer.answered)
+                config_freshness_module.PeerView(peer.revision, peer.answered)
             )
-        view = freshness_module.View(
+        view = config_freshness_module.View(
             self.configuration.revision,
             self.log_read(),
             self.tail.heard or None,
