--- a/features/steps/crash_log_steps.py
+++ b/features/steps/crash_log_steps.py
@@ -10,9 +10,9 @@
 from features.steps import crashing_requests_steps as plays
 from features.support import virtual_gateways
 
-from gypsumfold.decisions import budgets
 from gypsumfold.decisions import canaries as canaries_module
 from gypsumfold.decisions import crashes as crashes_module
+from gypsumfold.decisions import retry_budget
 from gypsumfold.decisions import routes
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import plain_calls
@@ -310,7 +310,7 @@
         )
         context.quarantine.canaries.merge(canary, now)
 
-    budget = budgets.RetryBudget(budgets.Policy(1.0, 10.0, 50.0))
+    budget = retry_budget.RetryBudget(retry_budget.Policy(1.0, 10.0, 50.0))
     budget.nodes = 1
     serving = plain_calls.PlainCalls(
         context.directory,
--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -6,10 +6,10 @@
 from features.support import connection_load
 from features.support import prompt_load
 
-from gypsumfold.decisions import budgets
 from gypsumfold.decisions import contact
 from gypsumfold.decisions import outages
 from gypsumfold.decisions import polling
+from gypsumfold.decisions import retry_budget
 from gypsumfold.decisions import routes
 from gypsumfold.decisions import silence
 
@@ -246,8 +246,10 @@
     "{slack:d} in {window:d} seconds"
 )
 def step_budget(context, share, slack, window):
-    context.policy = budgets.Policy(share, window, slack)
-    context.budgets = [budgets.RetryBudget(context.policy) for _ in range(6)]
+    context.policy = retry_budget.Policy(share, window, slack)
+    context.budgets = [
+        retry_budget.RetryBudget(context.policy) for _ in range(6)
+    ]
     for budget in context.budgets:
         budget.nodes = 6
 
@@ -290,7 +292,7 @@
 
 def restarted(context, now):
     """The budget of a node that has just started again."""
-    budget = budgets.RetryBudget(context.policy)
+    budget = retry_budget.RetryBudget(context.policy)
     budget.nodes = 6
     budget.started_at = now
     return budget
@@ -302,10 +304,10 @@
 )
 def step_restarting(context, nodes, share, slack, window):
     rng = random.Random(1)
-    context.policy = budgets.Policy(share, window, slack)
+    context.policy = retry_budget.Policy(share, window, slack)
     context.budgets = []
     for _ in range(nodes):
-        budget = budgets.RetryBudget(context.policy, rng.random())
+        budget = retry_budget.RetryBudget(context.policy, rng.random())
         budget.nodes = nodes
         budget.started_at = 0.0
         context.budgets.append(budget)
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -10,8 +10,8 @@
 from features.support import made_up
 
 from gypsumfold import exceptions
-from gypsumfold.decisions import budgets
 from gypsumfold.decisions import chains
+from gypsumfold.decisions import retry_budget
 from gypsumfold.decisions import routes
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import cache_lists
@@ -277,8 +277,8 @@
     "the site has {left:d} spare repeats, and another engine generates"
 )
 def step_spare(context, left):
-    context.budget = budgets.RetryBudget(
-        budgets.Policy(0.0, 10.0, left / budgets.USED_FRACTION)
+    context.budget = retry_budget.RetryBudget(
+        retry_budget.Policy(0.0, 10.0, left / retry_budget.USED_FRACTION)
     )
     context.budget.nodes = 1
     records = [entry(1500, stage="prefill")]
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -17,10 +17,10 @@
 from gypsumfold import clocks
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import budgets
 from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import polling
 from gypsumfold.decisions import read_timeouts
+from gypsumfold.decisions import retry_budget
 from gypsumfold.gateway import cache_lists
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import connections
@@ -98,7 +98,9 @@
         self.configurations = configurations_module.Configurations()
         self.pool = connections.Pool()
         self.endpoints = replicas.Replicas(self.pool)
-        self.budget = budgets.RetryBudget(budget_policy(settings), rng.random())
+        self.budget = retry_budget.RetryBudget(
+            budget_policy(settings), rng.random()
+        )
         if not settings.node.first_start:
             self.budget.started_at = time.monotonic()
         self.homes = homes_module.Homes()
@@ -439,10 +441,10 @@
         self.lines.flush()
 
 
-def budget_policy(settings: settings_module.Settings) -> budgets.Policy:
+def budget_policy(settings: settings_module.Settings) -> retry_budget.Policy:
     """The site's retry budget as the settings have it."""
     retries = settings.retries
-    return budgets.Policy(retries.share, retries.window_s, retries.slack)
+    return retry_budget.Policy(retries.share, retries.window_s, retries.slack)
 
 
 def stamp(path: pathlib.Path) -> int:
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -11,9 +11,9 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold import outcomes
-from gypsumfold.decisions import budgets
 from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import outages
+from gypsumfold.decisions import retry_budget
 from gypsumfold.decisions import routes
 from gypsumfold.decisions import stages
 from gypsumfold.gateway import directory as directory_module
@@ -69,7 +69,7 @@
         self,
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
-        budget: budgets.RetryBudget,
+        budget: retry_budget.RetryBudget,
         prefix_router: homes_module.Homes,
         quarantine: quarantine_module.Quarantine,
     ):
--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -7,7 +7,7 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold import outcomes
-from gypsumfold.decisions import budgets
+from gypsumfold.decisions import retry_budget
 from gypsumfold.decisions import routes
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import fingerprints
@@ -38,7 +38,7 @@
     def __init__(
         self,
         configurations: configurations_module.Configurations,
-        budget: budgets.RetryBudget,
+        budget: retry_budget.RetryBudget,
         plain_calls: plain_calls_module.PlainCalls,
         generations: generations_module.Generations,
         observer: Observer,
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -4,7 +4,7 @@
 import time
 
 from gypsumfold import exceptions
-from gypsumfold.decisions import budgets
+from gypsumfold.decisions import retry_budget
 from gypsumfold.decisions import routes
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import progress as progress_module
@@ -30,7 +30,7 @@
         self,
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
-        budget: budgets.RetryBudget,
+        budget: retry_budget.RetryBudget,
         data_centre: str,
         quarantine: quarantine_module.Quarantine,
     ):
