--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -6,7 +6,7 @@
 import behave
 from features.support import made_up
 
-from gypsumfold.decisions import stages
+from gypsumfold.decisions import role_split
 from gypsumfold.decisions import types
 from gypsumfold.gateway import planning
 from gypsumfold.gateway import types as gateway_types
@@ -31,7 +31,7 @@
     for number in range(count):
         role = types.Role.DECODE if number < decoders else types.Role.PREFILL
         context.roles[f"engine-{number}"] = role
-    context.split = stages.RoleSplit()
+    context.split = role_split.RoleSplit()
     context.now = 0.0
     context.changes = 0
     pass_time(context, 1.0, 0.5, 0.3)
@@ -43,11 +43,11 @@
     while context.now < end:
         views = []
         for name, role in context.roles.items():
-            view = stages.EngineView(
+            view = role_split.EngineView(
                 name, "dc", role, changing=name == changing
             )
             views.append(view)
-        load = stages.Load(prompts, memories, demand)
+        load = role_split.Load(prompts, memories, demand)
         for change in context.split.plan(views, load, context.now):
             context.roles[change.engine] = change.role
             context.changes += 1
@@ -95,7 +95,7 @@
 )
 def step_fill(context, first, short, second, long):
     for count, tokens in ((first, short), (second, long)):
-        share = stages.stream_share(tokens, context.memory, context.slots)
+        share = role_split.stream_share(tokens, context.memory, context.slots)
         assert 0.98 < count * share < 1.02, (count, tokens, share)
 
 
@@ -109,7 +109,7 @@
         generates = number < decoders
         role = types.Role.DECODE if generates else types.Role.PREFILL
         context.roles[f"engine-{number}"] = role
-    context.split = stages.RoleSplit()
+    context.split = role_split.RoleSplit()
     context.now = 0.0
     context.changes = 0
     context.load = load
@@ -144,7 +144,7 @@
 @behave.when("another node takes over while its engine's change is under way")
 def step_take_over(context):
     """The new holder sees the old roles until the change shows."""
-    context.split = stages.RoleSplit()
+    context.split = role_split.RoleSplit()
     changing = next(
         name
         for name, role in context.roles.items()
@@ -195,10 +195,10 @@
     context.found = []
     for changing in ("", readers[0]):
         views = [
-            stages.EngineView(name, "dc", role, changing=name == changing)
+            role_split.EngineView(name, "dc", role, changing=name == changing)
             for name, role in context.roles.items()
         ]
-        load = stages.Load(2.0, 0.8, 3.0)
+        load = role_split.Load(2.0, 0.8, 3.0)
         context.found.append(context.split.plan(views, load, context.now))
         context.now += LOOK
 
@@ -215,12 +215,12 @@
     "bytes a token and links of {gbits:d} Gbit/s"
 )
 def step_links(context, rate, size, gbits):
-    context.moving = stages.transfer_load(size, gbits * 1e9 / 8, rate)
+    context.moving = role_split.transfer_load(size, gbits * 1e9 / 8, rate)
 
 
 @behave.then("{generators:d} of {engines:d} engines generate at a start")
 def step_initial(context, generators, engines):
-    found = stages.initial_decoders(engines, context.moving)
+    found = role_split.initial_decoders(engines, context.moving)
     assert found == generators, (found, context.moving)
 
 
@@ -254,7 +254,7 @@
         gossip,
         gossip.loads.homes,
     )
-    pressed = stages.Load(1.5 * readers, streams=0.3, demand=1.2 * readers)
+    pressed = role_split.Load(1.5 * readers, streams=0.3, demand=1.2 * readers)
     context.planner.load = lambda service, now: pressed
     context.ordered = []
 
@@ -274,7 +274,7 @@
     planner.pending[ORDERED] = planning.Pending(types.Role.DECODE, 200.0)
     plan(context)
     # The change before was long enough ago for another one.
-    planner.splits["lm"].changed_at = context.now - stages.SETTLE_SECONDS
+    planner.splits["lm"].changed_at = context.now - role_split.SETTLE_SECONDS
 
 
 def plan(context):
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -14,8 +14,8 @@
 from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import outages
 from gypsumfold.decisions import retry_budget
+from gypsumfold.decisions import role_split
 from gypsumfold.decisions import routes
-from gypsumfold.decisions import stages
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import prefills
 from gypsumfold.gateway import progress as progress_module
@@ -346,4 +346,4 @@
 ) -> float:
     """The share of an engine that a stream takes."""
     tokens = call.prompt_tokens + call.output_tokens
-    return stages.stream_share(tokens, service.cache_tokens, replica.slots)
+    return role_split.stream_share(tokens, service.cache_tokens, replica.slots)
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -8,7 +8,7 @@
 from gypsumfold import exceptions
 from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import incarnations
-from gypsumfold.decisions import stages
+from gypsumfold.decisions import role_split
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import directory as directory_module
@@ -78,7 +78,7 @@
         self.configurations = configurations
         self.endpoints = endpoints
         self.pending: dict[str, Pending] = {}
-        self.splits: dict[str, stages.RoleSplit] = {}
+        self.splits: dict[str, role_split.RoleSplit] = {}
         self.tasks: set[asyncio.Task] = set()
         directory.gone.append(self.forget)
 
@@ -139,7 +139,7 @@
                 self.directory.changing.get(replica.instance, 0.0) > now
             )
             views.append(
-                stages.EngineView(
+                role_split.EngineView(
                     replica.instance,
                     replica.data_centre,
                     role,
@@ -147,7 +147,7 @@
                     changing,
                 )
             )
-        split = self.splits.setdefault(service.name, stages.RoleSplit())
+        split = self.splits.setdefault(service.name, role_split.RoleSplit())
         planned = split.plan(views, self.load(service, now), now)
         async with asyncio.TaskGroup() as group:
             for change in planned:
@@ -155,7 +155,7 @@
                     continue
                 group.create_task(self.order(service, change))
 
-    def load(self, service: types.Service, now: float) -> stages.Load:
+    def load(self, service: types.Service, now: float) -> role_split.Load:
         """What all nodes have at a service's engines."""
         prompts = 0.0
         streams = 0.0
@@ -163,13 +163,13 @@
             prompts += self.homes.queued(replica.instance, now)
             streams += self.directory.streams.total(replica.instance, now)
         demand = self.homes.demand.total(service.name, now)
-        moving = stages.transfer_load(
+        moving = role_split.transfer_load(
             service.token_bytes, service.link_rate, self.homes.rate()
         )
-        return stages.Load(prompts, streams, demand, moving)
+        return role_split.Load(prompts, streams, demand, moving)
 
     async def order(
-        self, service: types.Service, change: stages.Change
+        self, service: types.Service, change: role_split.Change
     ) -> None:
         """Gives one order; its number of earlier orders makes it single."""
         replica = self.directory.replicas.get(change.engine)
