--- a/features/steps/gateway_decisions_steps.py
+++ b/features/steps/gateway_decisions_steps.py
@@ -402,7 +402,7 @@
     route = context.route_table.match("desk.example", "/s/1")
     heavier = 0
     for number in range(count):
-        if route.service(f"request-{number}") == "one":
+        if route.pick_service(f"request-{number}") == "one":
             heavier += 1
     assert low <= heavier / count <= high, heavier
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -46,7 +46,7 @@
 
     >>> canaries = Canaries(owner=1)
     >>> canaries.start(7, "engine-1")
-    >>> canaries.free(8, "engine-1", now=0.1)
+    >>> canaries.is_free(8, "engine-1", now=0.1)
     False
     """
 
@@ -146,7 +146,7 @@
         Args:
             relayed: Whether other nodes' canaries are passed on too.
             now: The time.
-            most: Canaries at most.
+            limit: Canaries at most.
         """
         self.expire(now)
         due = []
--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -98,7 +98,7 @@
         """Notes that another node says that the store was there all along.
 
         Args:
-            own: Whether it knows that by its own calls.
+            direct: Whether it knows that by its own calls.
             now: The time.
         """
         self.confirmed_at = now
@@ -112,7 +112,7 @@
         So the word of one that calls it is passed on once.
 
         Args:
-            between: Whether it is sent to those who might pass it on.
+            may_forward: Whether it is sent to those who might pass it on.
             now: The time.
         """
         if (
--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -108,8 +108,8 @@
     >>> log = CrashLog()
     >>> for replica in ("engine-1", "engine-2", "engine-3"):
     ...     log.interrupted(Incarnation(replica), 7, output=False, now=0.0)
-    >>> log.verdict(7, now=1.0)
-    <Verdict.QUARANTINED: 'quarantined'>
+    >>> log.decide(7, now=1.0)
+    <Decision.QUARANTINED: 'quarantined'>
     """
 
     def __init__(self):
@@ -141,7 +141,7 @@
 
         Args:
             report: The suspicion.
-            pass_on: Whether it is sent to other nodes if it is new here.
+            forward: Whether it is sent to other nodes if it is new here.
             now: The time.
 
         Returns:
@@ -293,7 +293,7 @@
 
         Args:
             now: The time.
-            most: Suspicions at most.
+            limit: Suspicions at most.
         """
         if not self.repeats and now - self.refreshed >= REFRESH_SECONDS:
             self.refreshed = now
--- a/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
@@ -16,8 +16,8 @@
 class Incarnations:
     """The newest start of each replica that says when it was.
 
-    >>> births = Births()
-    >>> births.newest("engine-1", 2000), births.newest("engine-1", 1000)
+    >>> incarnations = Incarnations()
+    >>> incarnations.observe("engine-1", 2000), incarnations.observe("engine-1", 1000)
     (True, False)
     """
 
@@ -31,7 +31,7 @@
 
         Args:
             replica: Its instance.
-            born: Unix milliseconds; 0 if it does not say.
+            started_at: Unix milliseconds; 0 if it does not say.
         """
         known = self.starts.get(replica, 0)
         if started_at <= 0:
--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -39,8 +39,8 @@
 
     Args:
         since: When there was an engine last.
-        change: Seconds for which a change of role takes an engine away.
-        waits: Seconds for which the caller waits for a first event.
+        role_change: Seconds for which a change of role takes an engine away.
+        timeout: Seconds for which the caller waits for a first event.
         left: Seconds until the request's deadline.
         now: The time.
     """
--- a/packages/gypsumfold/src/gypsumfold/decisions/read_timeouts.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/read_timeouts.py
@@ -75,6 +75,6 @@
     Args:
         pause: Seconds since the read before.
         longest: Seconds that it would wait otherwise.
-        bounds: As of `limits`.
+        timeouts: As of `derive`.
     """
     return max(0.0, min(longest, timeouts.wait - pause))
