--- a/packages/gypsumfold/src/gypsumfold/decisions/topic_staleness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/topic_staleness.py
@@ -68,11 +68,9 @@
         """Whether the node is to read for itself."""
         if self.age(now) > MAX_AGE_FRACTION * self.bound:
             return True
-        return self.is_differing(now, 2 * DIFFERENCE_SECONDS)
+        return self.differs(now, 2 * DIFFERENCE_SECONDS)
 
-    def is_differing(
-        self, now: float, seconds: float = DIFFERENCE_SECONDS
-    ) -> bool:
+    def differs(self, now: float, seconds: float = DIFFERENCE_SECONDS) -> bool:
         """Whether the teller has known something else for a while."""
         since = self.differing_since
         return since is not None and now - since > seconds
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -157,7 +157,7 @@
             watch.trust(knowledge.end, now - knowledge.age)
         elif knowledge.end >= watch.position:
             watch.following.record_difference(now)
-            if watch.following.is_differing(now) and now >= self.next_question:
+            if watch.following.differs(now) and now >= self.next_question:
                 self.next_question = now + ASKING
                 self.different = address
                 self.news.set()
