--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -348,8 +348,10 @@
 def near(view, now):
     """The peers heard lately, and whether the log was."""
     limit = config_freshness_module.CUT_OFF_SECONDS
-    log_up = view.log_heard is not None and now - view.log_heard <= limit
-    return [p for p in view.peers if now - p.heard <= limit], log_up
+    log_up = (
+        view.log_last_seen is not None and now - view.log_last_seen <= limit
+    )
+    return [p for p in view.peers if now - p.last_seen <= limit], log_up
 
 
 def heard_of_all(view, now):
--- a/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
@@ -17,8 +17,10 @@
     """The newest start of each replica that says when it was.
 
     >>> incarnations = Incarnations()
-    >>> incarnations.observe("engine-1", 2000), incarnations.observe("engine-1", 1000)
-    (True, False)
+    >>> incarnations.observe("engine-1", 2000)
+    True
+    >>> incarnations.observe("engine-1", 1000)
+    False
     """
 
     def __init__(self):
