--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -10,7 +10,7 @@
 import hypothesis
 
 from gypsumfold import exceptions
-from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.gateway import registrations as registrations_module
 from gypsumfold.gateway import settings as settings_module
 from gypsumfold.gateway import watching
@@ -93,9 +93,11 @@
     """Decodes a request's headers and uses what they hold."""
     call = ingress.decode("POST", "/a/1", fields, b"", 1.0)
     assert call.deadline >= 1.0
-    homes = homes_module.Homes()
-    engine = homes_module.Engine("engine-1", "10.0.0.1:1")
-    prompt = homes_module.Prompt(call.chain, call.model, call.prompt_tokens)
+    homes = prefix_routing_module.Homes()
+    engine = prefix_routing_module.Engine("engine-1", "10.0.0.1:1")
+    prompt = prefix_routing_module.Prompt(
+        call.chain, call.model, call.prompt_tokens
+    )
     homes.choose(prompt, [engine], [engine], 1e6, 0.0)
 
 
--- a/features/support/made_up.py
+++ b/features/support/made_up.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies
 import msgspec
 
-from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import quarantine
 from gypsumfold.gateway import runs
@@ -280,7 +280,7 @@
     made = gossip_module.Gossip(
         settings,
         mock.Mock(),
-        homes_module.Homes(),
+        prefix_routing_module.Homes(),
         leadership,
         directory,
         quarantine.Quarantine(runs.InterruptedRuns(directory)),
--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -12,8 +12,8 @@
 from typing import NamedTuple
 
 from gypsumfold.decisions import chains
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import lateness
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 
 RATE = 38_000.0
 OVERHEAD = 0.03
@@ -80,7 +80,7 @@
 
     ask: Ask
     node: int
-    choice: homes_module.Choice
+    choice: prefix_routing_module.Choice
     sent: float
 
 
@@ -131,9 +131,9 @@
         self.names = [f"engine-{number}" for number in range(engines)]
         self.engines = {name: Engine() for name in self.names}
         self.candidates = [
-            homes_module.Engine(name, name) for name in self.names
+            prefix_routing_module.Engine(name, name) for name in self.names
         ]
-        self.nodes = [homes_module.Homes() for _ in range(nodes)]
+        self.nodes = [prefix_routing_module.Homes() for _ in range(nodes)]
         self.numbers = itertools.count()
         self.events: list[tuple[float, int, object, tuple]] = []
         self.now = 0.0
@@ -193,7 +193,7 @@
         homes = self.nodes[node]
         tokens = sum(part.tokens for part in ask.chain)
         urgency = ask.urgency if self.policy.layered else LEAST_URGENT
-        prompt = homes_module.Prompt(ask.chain, "m", tokens, urgency)
+        prompt = prefix_routing_module.Prompt(ask.chain, "m", tokens, urgency)
         if self.policy.homes:
             choice = homes.choose(
                 prompt, self.candidates, self.candidates, COPY_RATE, self.now
@@ -225,15 +225,17 @@
             self.start(engine)
 
     def shortest(
-        self, homes: homes_module.Homes, prompt: homes_module.Prompt
-    ) -> homes_module.Choice:
+        self,
+        homes: prefix_routing_module.Homes,
+        prompt: prefix_routing_module.Prompt,
+    ) -> prefix_routing_module.Choice:
         """The engine with the shortest queue, wherever parts are cached."""
         name = min(
             self.names, key=lambda one: (homes.delay(one, self.now), one)
         )
         reading = homes.pace(name).expected(prompt.tokens)
         total = homes.delay(name, self.now) + reading
-        return homes_module.Choice(
+        return prefix_routing_module.Choice(
             name, "", prompt.tokens, reading, total, reading
         )
 
--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -6,7 +6,7 @@
 import random
 from unittest import mock
 
-from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import quarantine
 from gypsumfold.gateway import runs
@@ -71,7 +71,7 @@
             store=settings_module.StoreSection("10.200.0.1:1"),
             peers=settings_module.PeersSection(f"{host}:{PORT}"),
         )
-        self.homes = homes_module.Homes()
+        self.homes = prefix_routing_module.Homes()
         directory = directory_module.Directory(random.Random(place))
         self.gossip = gossip_module.Gossip(
             settings,
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -14,8 +14,8 @@
 
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import incarnations
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import types
@@ -45,7 +45,7 @@
         directory: directory_module.Directory,
         configurations: configurations_module.Configurations,
         endpoints: types.Endpoints,
-        homes: homes_module.Homes,
+        homes: prefix_routing_module.Homes,
         gossip: gossip_module.Gossip,
         questions: questions_module.Questions,
     ):
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -17,8 +17,8 @@
 from gypsumfold import clocks
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import polling
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.decisions import read_timeouts
 from gypsumfold.decisions import retry_budget
 from gypsumfold.gateway import cache_lists
@@ -103,7 +103,7 @@
         )
         if not settings.node.first_start:
             self.budget.started_at = time.monotonic()
-        self.homes = homes_module.Homes()
+        self.homes = prefix_routing_module.Homes()
         self.counters = counters_module.Counters()
         self.generations = generations.Generations(
             self.directory,
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -11,8 +11,8 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold import outcomes
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import outages
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.decisions import retry_budget
 from gypsumfold.decisions import role_split
 from gypsumfold.decisions import routes
@@ -70,7 +70,7 @@
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
         budget: retry_budget.RetryBudget,
-        prefix_router: homes_module.Homes,
+        prefix_router: prefix_routing_module.Homes,
         quarantine: quarantine_module.Quarantine,
     ):
         self.directory = directory
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -1,7 +1,7 @@
 """Takes what other nodes tell of engines into what this one believes."""
 
 from gypsumfold import events
-from gypsumfold.decisions import homes as homes_module
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway.peers import messages
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        homes: homes_module.Homes,
+        homes: prefix_routing_module.Homes,
         directory: directory_module.Directory,
     ):
         self.homes = homes
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -19,9 +19,9 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.decisions import bandwidth
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import members as members_module
 from gypsumfold.decisions import node_count as node_count_module
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.decisions import relays as relays_module
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import directory as directory_module
@@ -72,7 +72,7 @@
         self,
         settings: settings_module.Settings,
         store: store_module.Store,
-        homes: homes_module.Homes,
+        homes: prefix_routing_module.Homes,
         leadership: leadership_module.Leadership,
         directory: directory_module.Directory,
         crashes: quarantine_module.Quarantine,
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple
 
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import load_deltas
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.decisions import shares
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway.peers import messages
@@ -85,7 +85,7 @@
 
     def __init__(
         self,
-        homes: homes_module.Homes,
+        homes: prefix_routing_module.Homes,
         directory: directory_module.Directory,
     ):
         self.homes = homes
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -6,8 +6,8 @@
 
 from gypsumfold import events
 from gypsumfold import exceptions
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import incarnations
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.decisions import role_split
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import configurations as configurations_module
@@ -69,7 +69,7 @@
         configurations: configurations_module.Configurations,
         endpoints: types.Endpoints,
         gossip: gossip_module.Gossip,
-        homes: homes_module.Homes,
+        homes: prefix_routing_module.Homes,
     ):
         self.gossip = gossip
         self.homes = homes
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -8,8 +8,8 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold import outcomes
-from gypsumfold.decisions import homes as homes_module
 from gypsumfold.decisions import incarnations
+from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.decisions import routes
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import fingerprints
@@ -39,7 +39,7 @@
         self,
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
-        prefix_router: homes_module.Homes,
+        prefix_router: prefix_routing_module.Homes,
         quarantine: quarantine_module.Quarantine,
     ):
         self.directory = directory
@@ -53,7 +53,7 @@
         route: routes.Route,
         service: types.Service,
         progress: progress_module.Progress,
-    ) -> homes_module.Choice | None:
+    ) -> prefix_routing_module.Choice | None:
         """Picks the engine that reads the prompt; None for any."""
         call = progress.call
         if not call.prompt_tokens:
@@ -62,7 +62,7 @@
         if service.token_bytes:
             rate = service.link_rate / service.token_bytes
         return self.prefix_router.choose(
-            homes_module.Prompt(
+            prefix_routing_module.Prompt(
                 call.chain, call.model, call.prompt_tokens, route.urgency
             ),
             self.prefill_engines(service, progress.avoid),
@@ -73,7 +73,7 @@
 
     def cache_holders(
         self, service: types.Service
-    ) -> list[homes_module.Engine]:
+    ) -> list[prefix_routing_module.Engine]:
         """The engines that may have parts of prompts, also leaving ones."""
         found = []
         for replica in self.directory.replicas.values():
@@ -81,18 +81,22 @@
                 continue
             if replica.instance not in self.directory.suspects:
                 found.append(
-                    homes_module.Engine(replica.instance, replica.address)
+                    prefix_routing_module.Engine(
+                        replica.instance, replica.address
+                    )
                 )
         return found
 
     def prefill_engines(
         self, service: types.Service, avoid: frozenset[str]
-    ) -> list[homes_module.Engine]:
+    ) -> list[prefix_routing_module.Engine]:
         """The engines that read prompts."""
         found = []
         now = time.monotonic()
         for replica in self.directory.engines(service.name, True, now, avoid):
-            found.append(homes_module.Engine(replica.instance, replica.address))
+            found.append(
+                prefix_routing_module.Engine(replica.instance, replica.address)
+            )
         return found
 
     def cache_peer(self, address: str) -> str:
@@ -106,7 +110,7 @@
 
     async def prefill(
         self,
-        choice: homes_module.Choice,
+        choice: prefix_routing_module.Choice,
         route: routes.Route,
         service: types.Service,
         progress: progress_module.Progress,
@@ -172,7 +176,7 @@
     async def exchange(
         self,
         replica: types.Replica,
-        choice: homes_module.Choice,
+        choice: prefix_routing_module.Choice,
         instructions: types.Instructions,
         progress: progress_module.Progress,
     ) -> types.Handle:
@@ -203,7 +207,7 @@
             raise exceptions.EndpointNotStarted(str(error)) from error
 
     async def wait_for_prefill(
-        self, prefill: Coroutine, choice: homes_module.Choice
+        self, prefill: Coroutine, choice: prefix_routing_module.Choice
     ) -> types.Handle:
         """Waits for a prompt to be read while its engine reads any.
 
@@ -292,7 +296,7 @@
 
 
 def deadline_refusal(
-    choice: homes_module.Choice,
+    choice: prefix_routing_module.Choice,
     progress: progress_module.Progress,
     behind: float,
 ) -> exceptions.Unavailable:
