--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -17,7 +17,7 @@
 import xxhash
 
 from gypsumfold.decisions import chains
-from gypsumfold.decisions import paces
+from gypsumfold.decisions import prefill_rates
 from gypsumfold.decisions import reading
 from gypsumfold.decisions import shares
 
@@ -130,21 +130,21 @@
 
     def __init__(self):
         self.caches = chains.Caches()
-        self.paces: dict[str, paces.Pace] = {}
+        self.paces: dict[str, prefill_rates.Pace] = {}
         self.waiting = shares.Shares()
         self.late = shares.Shares()
         self.demand = reading.Demand()
         self.memory = 0
         self.listener: Listener | None = None
 
-    def pace(self, engine: str) -> paces.Pace:
+    def pace(self, engine: str) -> prefill_rates.Pace:
         """What is known of an engine's speed."""
-        return self.paces.setdefault(engine, paces.Pace())
+        return self.paces.setdefault(engine, prefill_rates.Pace())
 
     def rate(self) -> float:
         """Tokens a second that engines read, the middle one of those known."""
         rates = [pace.rate for pace in self.paces.values()]
-        return statistics.median(rates) if rates else paces.FIRST_RATE
+        return statistics.median(rates) if rates else prefill_rates.FIRST_RATE
 
     def delay(
         self, engine: str, now: float, urgency: int = LEAST_URGENT
