--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -17,8 +17,8 @@
 import xxhash
 
 from gypsumfold.decisions import chains
+from gypsumfold.decisions import prefill_demand
 from gypsumfold.decisions import prefill_rates
-from gypsumfold.decisions import reading
 from gypsumfold.decisions import shares
 
 # Engines in a beginning's order that are weighed: all of a small fleet, and
@@ -101,7 +101,7 @@
     engine: str
     peer: str
     tokens: int
-    reading: float
+    prefill_demand: float
     total: float
     load: float
     behind: float = 0.0
@@ -133,7 +133,7 @@
         self.paces: dict[str, prefill_rates.Pace] = {}
         self.waiting = shares.Shares()
         self.late = shares.Shares()
-        self.demand = reading.Demand()
+        self.demand = prefill_demand.Demand()
         self.memory = 0
         self.listener: Listener | None = None
 
