--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -8,7 +8,7 @@
 
 import math
 
-from gypsumfold.decisions import shares
+from gypsumfold.decisions import cluster_totals
 
 # Seconds over which arrivals are remembered: longer than the gap between two
 # large prompts, shorter than a change of role takes.
@@ -47,7 +47,7 @@
 
     def __init__(self):
         self.rates: dict[str, Rate] = {}
-        self.nodes = shares.Shares()
+        self.nodes = cluster_totals.Shares()
 
     def add(self, service: str, seconds: float, now: float) -> None:
         """Counts a prompt that came to this node.
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -17,9 +17,9 @@
 import xxhash
 
 from gypsumfold.decisions import chains
+from gypsumfold.decisions import cluster_totals
 from gypsumfold.decisions import prefill_demand
 from gypsumfold.decisions import prefill_rates
-from gypsumfold.decisions import shares
 
 # Engines in a beginning's order that are weighed: all of a small fleet, and
 # of a large one enough that one of them is free (with 70 engines the chance
@@ -131,8 +131,8 @@
     def __init__(self):
         self.caches = chains.Caches()
         self.paces: dict[str, prefill_rates.Pace] = {}
-        self.waiting = shares.Shares()
-        self.late = shares.Shares()
+        self.waiting = cluster_totals.Shares()
+        self.late = cluster_totals.Shares()
         self.demand = prefill_demand.Demand()
         self.memory = 0
         self.listener: Listener | None = None
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -12,9 +12,9 @@
 
 from gypsumfold import events
 from gypsumfold import exceptions
+from gypsumfold.decisions import cluster_totals
 from gypsumfold.decisions import health
 from gypsumfold.decisions import incarnations as incarnations_module
-from gypsumfold.decisions import shares
 from gypsumfold.decisions import silence as silence_module
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import types
@@ -67,7 +67,7 @@
         self.alive: list[Callable[[str], None]] = []
         self.confirmed: dict[str, tuple[decision_types.Role, float]] = {}
         self.silence = silence_module.SilenceDetector()
-        self.streams = shares.Shares()
+        self.streams = cluster_totals.Shares()
         self.generating: dict[str, float] = {}
         self.health = health.Health(rng)
         self.gone = []
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
+from gypsumfold.decisions import cluster_totals
 from gypsumfold.decisions import load_deltas
 from gypsumfold.decisions import prefix_routing as prefix_routing_module
-from gypsumfold.decisions import shares
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway.peers import messages
 
@@ -91,7 +91,7 @@
         self.homes = homes
         self.directory = directory
 
-    def sorts(self) -> tuple[shares.Shares, ...]:
+    def sorts(self) -> tuple[cluster_totals.Shares, ...]:
         """The sums of each sort of work, in the order of `Amounts`."""
         return (
             self.homes.waiting,
