--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -12,8 +12,8 @@
 from features.support import patterns
 from features.support import variants
 
+from gypsumfold.decisions import policy_scheduler
 from gypsumfold.decisions import recovery
-from gypsumfold.decisions import scheduling
 
 RULES = {
     "rear": recovery.Rear,
@@ -28,10 +28,10 @@
 def play(rule: recovery.Reentry, seed: int, rate: float) -> tuple[float, float]:
     """Plays three crashes and returns both shares on time."""
 
-    def make(rng: random.Random) -> scheduling.PolicyScheduler:
-        parts = scheduling.parts(variants.POLICY, rng)
+    def make(rng: random.Random) -> policy_scheduler.PolicyScheduler:
+        parts = policy_scheduler.parts(variants.POLICY, rng)
         parts = parts._replace(reentry=rule)
-        return scheduling.PolicyScheduler(variants.POLICY, rng, parts)
+        return policy_scheduler.PolicyScheduler(variants.POLICY, rng, parts)
 
     rng = random.Random(seed)
     served = patterns.fleet(make)
--- a/features/support/variants.py
+++ b/features/support/variants.py
@@ -6,10 +6,10 @@
 from gypsumfold.decisions import loads
 from gypsumfold.decisions import outliers
 from gypsumfold.decisions import placement
+from gypsumfold.decisions import policy_scheduler
 from gypsumfold.decisions import scheduler
-from gypsumfold.decisions import scheduling
 
-POLICY = scheduling.Policy("north-apron")
+POLICY = policy_scheduler.Policy("north-apron")
 
 
 def baseline(rng):
@@ -17,7 +17,7 @@
 
 
 def policy(rng):
-    return scheduling.PolicyScheduler(POLICY, rng)
+    return policy_scheduler.PolicyScheduler(POLICY, rng)
 
 
 def plainer(part):
@@ -42,7 +42,7 @@
     """Makes the policy with one part replaced by its plainer rule."""
 
     def make(rng):
-        parts = scheduling.parts(POLICY, rng)._replace(**plainer(part))
-        return scheduling.PolicyScheduler(POLICY, rng, parts)
+        parts = policy_scheduler.parts(POLICY, rng)._replace(**plainer(part))
+        return policy_scheduler.PolicyScheduler(POLICY, rng, parts)
 
     return make
--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -25,8 +25,8 @@
 from gypsumfold.callers import server as callers_server
 from gypsumfold.control import commands
 from gypsumfold.control import control
+from gypsumfold.decisions import policy_scheduler
 from gypsumfold.decisions import scheduler as scheduler_module
-from gypsumfold.decisions import scheduling
 from gypsumfold.decisions import types
 from gypsumfold.endpoints import connections
 from gypsumfold.endpoints import fleet as fleet_module
@@ -208,8 +208,8 @@
 
     def scheduler(self, service: str) -> scheduler_module.Scheduler:
         """Makes the scheduler of a service."""
-        policy = scheduling.Policy(self.settings.node.data_centre)
-        return scheduling.PolicyScheduler(policy, random.Random())
+        policy = policy_scheduler.Policy(self.settings.node.data_centre)
+        return policy_scheduler.PolicyScheduler(policy, random.Random())
 
     def supervise(
         self, name: str, function: Callable[[], Awaitable[None]]
