--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -24,7 +24,7 @@
 # Engines in a beginning's order that are weighed: all of a small fleet, and
 # of a large one enough that one of them is free (with 70 engines the chance
 # that all of eight are the busiest tenth is 1e-8).
-CONSIDERED = 8
+MAX_CONSIDERED_ENGINES = 8
 # Times the reading of a prompt's shared parts by which another engine must be
 # quicker than the home: each engine that reads a beginning of its own pushes
 # others out of its memory. A prompt that shares little goes to the shortest
@@ -201,7 +201,7 @@
         ranked = order(key, engines)
         best = None
         best_cost = math.inf
-        for place, engine in enumerate(ranked[:CONSIDERED]):
+        for place, engine in enumerate(ranked[:MAX_CONSIDERED_ENGINES]):
             choice = self.weigh(engine, holder, prompt, copy_rate, now)
             cost = choice.total
             if place > 0:
