--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -29,7 +29,7 @@
 # quicker than the home: each engine that reads a beginning of its own pushes
 # others out of its memory. A prompt that shares little goes to the shortest
 # queue.
-HOME_WEIGHT = 1.0
+PREFERRED_WEIGHT = 1.0
 # Share of its reading for which a late prompt holds up others: it goes behind
 # them, but they wait for the piece of it that is being read.
 LATE_LOAD = 0.2
@@ -206,7 +206,7 @@
             cost = choice.total
             if place > 0:
                 rate = self.pace(ranked[0].name).rate
-                cost += HOME_WEIGHT * shared_tokens / rate
+                cost += PREFERRED_WEIGHT * shared_tokens / rate
             if cost < best_cost:
                 best, best_cost = choice, cost
         return best
