--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -32,7 +32,7 @@
 PREFERRED_WEIGHT = 1.0
 # Share of its reading for which a late prompt holds up others: it goes behind
 # them, but they wait for the piece of it that is being read.
-LATE_LOAD = 0.2
+LATE_LOAD_FRACTION = 0.2
 # Urgencies that are told apart from 0 on; the least urgent count together.
 LEAST_URGENT = 3
 # Seconds for which a prompt that is being read holds up a more urgent one:
@@ -292,7 +292,7 @@
         self.memory = memory
         if urgency is not None:
             choice = choice._replace(
-                load=choice.load * LATE_LOAD,
+                load=choice.load * LATE_LOAD_FRACTION,
                 late=urgency_key(choice.engine, urgency),
                 # It holds up all a little, the most urgent too.
                 urgency=0,
