--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -34,7 +34,7 @@
 # them, but they wait for the piece of it that is being read.
 LATE_LOAD_FRACTION = 0.2
 # Urgencies that are told apart from 0 on; the least urgent count together.
-LEAST_URGENT = 3
+MAX_URGENCY = 3
 # Seconds for which a prompt that is being read holds up a more urgent one:
 # engines read in pieces of 1,024 to 2,048 tokens, at 38 to 64 in a ms. Counted
 # whole, long prompts made short ones that overtake them look late.
@@ -147,17 +147,17 @@
         return statistics.median(rates) if rates else prefill_rates.FIRST_RATE
 
     def delay(
-        self, engine: str, now: float, urgency: int = LEAST_URGENT
+        self, engine: str, now: float, urgency: int = MAX_URGENCY
     ) -> float:
         """Seconds that a prompt is expected to wait at an engine.
 
         Those that are less urgent hold it up by the piece being read only.
         """
-        urgency = min(urgency, LEAST_URGENT)
+        urgency = min(urgency, MAX_URGENCY)
         seen = self.pace(engine).delay_seen(now, urgency)
         before = 0.0
         after = 0.0
-        for other in range(LEAST_URGENT + 1):
+        for other in range(MAX_URGENCY + 1):
             amount = self.waiting.total(urgency_key(engine, other), now)
             if other <= urgency:
                 before += amount
@@ -168,7 +168,7 @@
     def queued(self, engine: str, now: float) -> float:
         """Seconds of prompts of any urgency that wait at an engine."""
         found = 0.0
-        for urgency in range(LEAST_URGENT + 1):
+        for urgency in range(MAX_URGENCY + 1):
             found += self.waiting.total(urgency_key(engine, urgency), now)
         return found
 
@@ -247,13 +247,13 @@
             total,
             load,
             behind,
-            urgency=min(prompt.urgency, LEAST_URGENT),
+            urgency=min(prompt.urgency, MAX_URGENCY),
         )
 
     def behind(self, engine: str, urgency: int, now: float) -> float:
         """Seconds of late prompts that go before a late one."""
         found = 0.0
-        for other in range(min(urgency, LEAST_URGENT) + 1):
+        for other in range(min(urgency, MAX_URGENCY) + 1):
             found += self.late.total(urgency_key(engine, other), now)
         return found
 
@@ -346,14 +346,14 @@
         """Drops an engine that is gone."""
         self.caches.forget(engine)
         self.paces.pop(engine, None)
-        for urgency in range(LEAST_URGENT + 1):
+        for urgency in range(MAX_URGENCY + 1):
             self.waiting.forget(urgency_key(engine, urgency))
             self.late.forget(urgency_key(engine, urgency))
 
 
 def urgency_key(engine: str, urgency: int) -> str:
     """Names an engine's prompts of one urgency."""
-    return f"{engine}/{min(urgency, LEAST_URGENT)}"
+    return f"{engine}/{min(urgency, MAX_URGENCY)}"
 
 
 def order(key: int, engines: list[Engine]) -> list[Engine]:
