--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -38,7 +38,7 @@
 # Seconds for which a prompt that is being read holds up a more urgent one:
 # engines read in pieces of 1,024 to 2,048 tokens, at 38 to 64 in a ms. Counted
 # whole, long prompts made short ones that overtake them look late.
-PIECE = 0.032
+CHUNK_SECONDS = 0.032
 # Tokens below which copying takes longer than reading: 400 are 10 ms.
 LEAST_COPY = 400
 # Seconds that copying cached parts takes beside their bytes.
@@ -163,7 +163,7 @@
                 before += amount
             else:
                 after += amount
-        return max(seen, before + min(after, PIECE))
+        return max(seen, before + min(after, CHUNK_SECONDS))
 
     def queued(self, engine: str, now: float) -> float:
         """Seconds of prompts of any urgency that wait at an engine."""
