--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -40,7 +40,7 @@
 # whole, long prompts made short ones that overtake them look late.
 CHUNK_SECONDS = 0.032
 # Tokens below which copying takes longer than reading: 400 are 10 ms.
-LEAST_COPY = 400
+MIN_COPY_TOKENS = 400
 # Seconds that copying cached parts takes beside their bytes.
 COPY_OVERHEAD = 0.008
 
@@ -226,7 +226,7 @@
         gained = holder.tokens - cached
         if (
             copy_rate > 0
-            and gained >= LEAST_COPY
+            and gained >= MIN_COPY_TOKENS
             and holder.name != engine.name
         ):
             peer = holder.address
