--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -42,7 +42,7 @@
 # Tokens below which copying takes longer than reading: 400 are 10 ms.
 MIN_COPY_TOKENS = 400
 # Seconds that copying cached parts takes beside their bytes.
-COPY_OVERHEAD = 0.008
+COPY_OVERHEAD_SECONDS = 0.008
 
 
 class Engine(NamedTuple):
@@ -230,7 +230,7 @@
             and holder.name != engine.name
         ):
             peer = holder.address
-            copying = COPY_OVERHEAD + gained / copy_rate
+            copying = COPY_OVERHEAD_SECONDS + gained / copy_rate
             cached = holder.tokens
         tokens = max(0, prompt.tokens - cached)
         pace = self.pace(engine.name)
