--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -207,7 +207,7 @@
             rank = lateness.rank(
                 ask.urgency,
                 0.0,
-                choice.total,
+                choice.total_seconds,
                 ask.objective,
                 ask.patience,
                 choice.behind if self.policy.counted else 0.0,
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -102,7 +102,7 @@
     peer: str
     tokens: int
     prefill_demand: float
-    total: float
+    total_seconds: float
     load: float
     behind: float = 0.0
     late: str = ""
@@ -203,7 +203,7 @@
         best_cost = math.inf
         for place, engine in enumerate(ranked[:MAX_CONSIDERED_ENGINES]):
             choice = self.weigh(engine, holder, prompt, copy_rate, now)
-            cost = choice.total
+            cost = choice.total_seconds
             if place > 0:
                 rate = self.pace(ranked[0].name).rate
                 cost += PREFERRED_WEIGHT * shared_tokens / rate
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -123,7 +123,9 @@
                 waits.
         """
         replica = self.directory.replicas[choice.engine]
-        rank = progress.rank(route, choice.total, choice.behind, choice.load)
+        rank = progress.rank(
+            route, choice.total_seconds, choice.behind, choice.load
+        )
         call = progress.call
         self.prefix_router.demand.add(
             service.name, choice.load, time.monotonic()
@@ -137,7 +139,7 @@
             fingerprint=fingerprints.to_hex(progress.fingerprint),
             instance=choice.engine,
             tokens=choice.tokens,
-            expected=round(choice.total, 3),
+            expected=round(choice.total_seconds, 3),
             copied_from=choice.peer,
             urgency=rank.urgency,
             left=round(progress.time_left(), 3),
@@ -314,12 +316,12 @@
         events.CALL_HOPELESS,
         request=progress.call.id,
         instance=choice.engine,
-        expected=round(choice.total, 3),
+        expected=round(choice.total_seconds, 3),
         behind=round(behind, 3),
         left=round(left, 3),
     )
     return exceptions.Unavailable(
         "the engines have too much to read",
         outcomes.Outcome.NOT_RUN,
-        min(choice.total + behind, max(0.0, left / 3)),
+        min(choice.total_seconds + behind, max(0.0, left / 3)),
     )
