--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -210,7 +210,7 @@
                 choice.total_seconds,
                 ask.objective,
                 ask.patience,
-                choice.behind if self.policy.counted else 0.0,
+                choice.late_ahead if self.policy.counted else 0.0,
                 choice.load if self.policy.kept else ask.objective,
             )
         if rank.hopeless:
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -104,7 +104,7 @@
     prefill_demand: float
     total_seconds: float
     load: float
-    behind: float = 0.0
+    late_ahead: float = 0.0
     late: str = ""
     late_load: float = 0.0
     urgency: int = 0
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -124,14 +124,14 @@
         """
         replica = self.directory.replicas[choice.engine]
         rank = progress.rank(
-            route, choice.total_seconds, choice.behind, choice.load
+            route, choice.total_seconds, choice.late_ahead, choice.load
         )
         call = progress.call
         self.prefix_router.demand.add(
             service.name, choice.load, time.monotonic()
         )
         if rank.hopeless and not progress.may_have_run:
-            behind = choice.behind if rank.deferred else 0.0
+            behind = choice.late_ahead if rank.deferred else 0.0
             raise deadline_refusal(choice, progress, behind)
         events.log(
             events.PROMPT_PLACED,
