--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -105,7 +105,7 @@
     total_seconds: float
     load: float
     late_ahead: float = 0.0
-    late: str = ""
+    late_key: str = ""
     late_load: float = 0.0
     urgency: int = 0
 
@@ -298,7 +298,7 @@
                 urgency=0,
                 late_load=choice.load,
             )
-            self.late.add(choice.late, choice.late_load)
+            self.late.add(choice.late_key, choice.late_load)
         found = chains.links(chain, model)
         tokens = [part.tokens for part in chain]
         self.caches.add_links(choice.engine, found, tokens, memory)
@@ -311,7 +311,7 @@
     def done(self, choice: Choice, seconds: float, now: float) -> None:
         """Learns from a prompt that was read."""
         self.remove(choice)
-        if not choice.late:
+        if not choice.late_key:
             pace = self.pace(choice.engine)
             pace.done(
                 choice.tokens, choice.reading, seconds, now, choice.urgency
@@ -327,8 +327,8 @@
         """Takes a prompt out of what waits."""
         key = urgency_key(choice.engine, choice.urgency)
         self.waiting.remove(key, choice.load)
-        if choice.late:
-            self.late.remove(choice.late, choice.late_load)
+        if choice.late_key:
+            self.late.remove(choice.late_key, choice.late_load)
 
     def tell(self) -> None:
         """Lets the other nodes know that loads have changed."""
