--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -110,7 +110,7 @@
     urgency: int = 0
 
 
-class Listener(Protocol):
+class LoadListener(Protocol):
     """Is told of each prompt, to tell other nodes."""
 
     def sent(self, engine: str, links: list[int], tokens: list[int]) -> None:
@@ -135,7 +135,7 @@
         self.late = cluster_totals.Shares()
         self.demand = prefill_demand.Demand()
         self.memory = 0
-        self.listener: Listener | None = None
+        self.listener: LoadListener | None = None
 
     def pace(self, engine: str) -> prefill_rates.Pace:
         """What is known of an engine's speed."""
