--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -130,7 +130,7 @@
 
     def __init__(self):
         self.caches = chains.Caches()
-        self.paces: dict[str, prefill_rates.Pace] = {}
+        self.prefill_estimators: dict[str, prefill_rates.Pace] = {}
         self.waiting = cluster_totals.Shares()
         self.late = cluster_totals.Shares()
         self.demand = prefill_demand.Demand()
@@ -139,11 +139,11 @@
 
     def pace(self, engine: str) -> prefill_rates.Pace:
         """What is known of an engine's speed."""
-        return self.paces.setdefault(engine, prefill_rates.Pace())
+        return self.prefill_estimators.setdefault(engine, prefill_rates.Pace())
 
     def rate(self) -> float:
         """Tokens a second that engines read, the middle one of those known."""
-        rates = [pace.rate for pace in self.paces.values()]
+        rates = [pace.rate for pace in self.prefill_estimators.values()]
         return statistics.median(rates) if rates else prefill_rates.FIRST_RATE
 
     def delay(
@@ -345,7 +345,7 @@
     def forget(self, engine: str) -> None:
         """Drops an engine that is gone."""
         self.caches.forget(engine)
-        self.paces.pop(engine, None)
+        self.prefill_estimators.pop(engine, None)
         for urgency in range(MAX_URGENCY + 1):
             self.waiting.forget(urgency_key(engine, urgency))
             self.late.forget(urgency_key(engine, urgency))
