--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -233,7 +233,7 @@
         name = min(
             self.names, key=lambda one: (homes.delay(one, self.now), one)
         )
-        reading = homes.pace(name).expected(prompt.tokens)
+        reading = homes.prefill_estimator(name).expected(prompt.tokens)
         total = homes.delay(name, self.now) + reading
         return prefix_routing_module.Choice(
             name, "", prompt.tokens, reading, total, reading
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -137,7 +137,7 @@
         self.memory = 0
         self.listener: LoadListener | None = None
 
-    def pace(self, engine: str) -> prefill_rates.Pace:
+    def prefill_estimator(self, engine: str) -> prefill_rates.Pace:
         """What is known of an engine's speed."""
         return self.prefill_estimators.setdefault(engine, prefill_rates.Pace())
 
@@ -154,7 +154,7 @@
         Those that are less urgent hold it up by the piece being read only.
         """
         urgency = min(urgency, MAX_URGENCY)
-        seen = self.pace(engine).delay_seen(now, urgency)
+        seen = self.prefill_estimator(engine).delay_seen(now, urgency)
         before = 0.0
         after = 0.0
         for other in range(MAX_URGENCY + 1):
@@ -205,7 +205,7 @@
             choice = self.weigh(engine, holder, prompt, copy_rate, now)
             cost = choice.total_seconds
             if place > 0:
-                rate = self.pace(ranked[0].name).rate
+                rate = self.prefill_estimator(ranked[0].name).rate
                 cost += PREFERRED_WEIGHT * shared_tokens / rate
             if cost < best_cost:
                 best, best_cost = choice, cost
@@ -233,7 +233,7 @@
             copying = COPY_OVERHEAD_SECONDS + gained / copy_rate
             cached = holder.tokens
         tokens = max(0, prompt.tokens - cached)
-        pace = self.pace(engine.name)
+        pace = self.prefill_estimator(engine.name)
         reading = pace.expected(tokens)
         delay = self.delay(engine.name, now, prompt.urgency)
         total = delay + copying + reading
@@ -312,7 +312,7 @@
         """Learns from a prompt that was read."""
         self.remove(choice)
         if not choice.late_key:
-            pace = self.pace(choice.engine)
+            pace = self.prefill_estimator(choice.engine)
             pace.done(
                 choice.tokens, choice.reading, seconds, now, choice.urgency
             )
