--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -141,7 +141,7 @@
         self.refused: dict[int, float] = {}
         self.starved = 0
         for number, node in enumerate(self.nodes):
-            node.memory = MEMORY
+            node.cache_capacity = MEMORY
             if policy.told:
                 node.listener = Told(self, number)
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -134,7 +134,7 @@
         self.waiting = cluster_totals.Shares()
         self.late = cluster_totals.Shares()
         self.demand = prefill_demand.Demand()
-        self.memory = 0
+        self.cache_capacity = 0
         self.listener: LoadListener | None = None
 
     def prefill_estimator(self, engine: str) -> prefill_rates.Pace:
@@ -289,7 +289,7 @@
             The choice with the load that it counts for, for `done` or
             `dropped`.
         """
-        self.memory = memory
+        self.cache_capacity = memory
         if urgency is not None:
             choice = choice._replace(
                 load=choice.load * LATE_LOAD_FRACTION,
@@ -339,8 +339,8 @@
         self, engine: str, found: list[int], tokens: list[int]
     ) -> None:
         """Notes that another node sent a prompt to an engine."""
-        if self.memory:
-            self.caches.add_links(engine, found, tokens, self.memory)
+        if self.cache_capacity:
+            self.caches.add_links(engine, found, tokens, self.cache_capacity)
 
     def forget(self, engine: str) -> None:
         """Drops an engine that is gone."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -106,7 +106,7 @@
         service = self.service(replica)
         if service is None:
             return
-        self.homes.memory = service.cache_tokens
+        self.homes.cache_capacity = service.cache_tokens
         self.homes.caches.add_links(
             caches.engine, caches.links, caches.tokens, service.cache_tokens
         )
@@ -169,7 +169,7 @@
             replica.instance, found.started_at
         ):
             return
-        self.homes.memory = service.cache_tokens
+        self.homes.cache_capacity = service.cache_tokens
         self.homes.caches.add_parts(
             replica.instance, found.blocks, service.cache_tokens
         )
