--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -141,7 +141,7 @@
         """What is known of an engine's speed."""
         return self.prefill_estimators.setdefault(engine, prefill_rates.Pace())
 
-    def rate(self) -> float:
+    def median_rate(self) -> float:
         """Tokens a second that engines read, the middle one of those known."""
         rates = [pace.rate for pace in self.prefill_estimators.values()]
         return statistics.median(rates) if rates else prefill_rates.FIRST_RATE
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -164,7 +164,7 @@
             streams += self.directory.streams.total(replica.instance, now)
         demand = self.homes.demand.total(service.name, now)
         moving = role_split.transfer_load(
-            service.token_bytes, service.link_rate, self.homes.rate()
+            service.token_bytes, service.link_rate, self.homes.median_rate()
         )
         return role_split.Load(prompts, streams, demand, moving)
 
