--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -231,10 +231,11 @@
     ) -> prefix_routing_module.Choice:
         """The engine with the shortest queue, wherever parts are cached."""
         name = min(
-            self.names, key=lambda one: (homes.delay(one, self.now), one)
+            self.names,
+            key=lambda one: (homes.expected_wait(one, self.now), one),
         )
         reading = homes.prefill_estimator(name).expected(prompt.tokens)
-        total = homes.delay(name, self.now) + reading
+        total = homes.expected_wait(name, self.now) + reading
         return prefix_routing_module.Choice(
             name, "", prompt.tokens, reading, total, reading
         )
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -146,7 +146,7 @@
         rates = [pace.rate for pace in self.prefill_estimators.values()]
         return statistics.median(rates) if rates else prefill_rates.FIRST_RATE
 
-    def delay(
+    def expected_wait(
         self, engine: str, now: float, urgency: int = MAX_URGENCY
     ) -> float:
         """Seconds that a prompt is expected to wait at an engine.
@@ -235,7 +235,7 @@
         tokens = max(0, prompt.tokens - cached)
         pace = self.prefill_estimator(engine.name)
         reading = pace.expected(tokens)
-        delay = self.delay(engine.name, now, prompt.urgency)
+        delay = self.expected_wait(engine.name, now, prompt.urgency)
         total = delay + copying + reading
         behind = self.behind(engine.name, prompt.urgency, now)
         load = pace.occupied(tokens)
