--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -165,7 +165,7 @@
                 after += amount
         return max(seen, before + min(after, CHUNK_SECONDS))
 
-    def queued(self, engine: str, now: float) -> float:
+    def queued_seconds(self, engine: str, now: float) -> float:
         """Seconds of prompts of any urgency that wait at an engine."""
         found = 0.0
         for urgency in range(MAX_URGENCY + 1):
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -132,7 +132,7 @@
                 continue
             role = self.directory.role(replica, now)
             role = pending.role if pending else role
-            waiting = self.homes.queued(replica.instance, now)
+            waiting = self.homes.queued_seconds(replica.instance, now)
             # An order that has not shown may never be carried out: its engine
             # may have crashed since.
             changing = pending is not None or (
@@ -160,7 +160,7 @@
         prompts = 0.0
         streams = 0.0
         for replica in self.directory.known(service.name):
-            prompts += self.homes.queued(replica.instance, now)
+            prompts += self.homes.queued_seconds(replica.instance, now)
             streams += self.directory.streams.total(replica.instance, now)
         demand = self.homes.demand.total(service.name, now)
         moving = role_split.transfer_load(
