--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -202,7 +202,7 @@
         best = None
         best_cost = math.inf
         for place, engine in enumerate(ranked[:MAX_CONSIDERED_ENGINES]):
-            choice = self.weigh(engine, holder, prompt, copy_rate, now)
+            choice = self.estimate(engine, holder, prompt, copy_rate, now)
             cost = choice.total_seconds
             if place > 0:
                 rate = self.prefill_estimator(ranked[0].name).rate
@@ -211,7 +211,7 @@
                 best, best_cost = choice, cost
         return best
 
-    def weigh(
+    def estimate(
         self,
         engine: Engine,
         holder: Holder,
