--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -237,7 +237,7 @@
         reading = pace.expected(tokens)
         delay = self.expected_wait(engine.name, now, prompt.urgency)
         total = delay + copying + reading
-        behind = self.behind(engine.name, prompt.urgency, now)
+        behind = self.late_ahead(engine.name, prompt.urgency, now)
         load = pace.occupied(tokens)
         return Choice(
             engine.name,
@@ -250,7 +250,7 @@
             urgency=min(prompt.urgency, MAX_URGENCY),
         )
 
-    def behind(self, engine: str, urgency: int, now: float) -> float:
+    def late_ahead(self, engine: str, urgency: int, now: float) -> float:
         """Seconds of late prompts that go before a late one."""
         found = 0.0
         for other in range(min(urgency, MAX_URGENCY) + 1):
