--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -197,7 +197,7 @@
         chain, model = prompt.chain, prompt.model
         key = chains.shared_key(chain, model) or chains.own_key(chain, model)
         shared_tokens = sum(part.tokens for part in chain[:-1])
-        holder = self.holder(prompt, holders)
+        holder = self.best_holder(prompt, holders)
         ranked = order(key, engines)
         best = None
         best_cost = math.inf
@@ -257,7 +257,7 @@
             found += self.late.total(urgency_key(engine, other), now)
         return found
 
-    def holder(self, prompt: Prompt, holders: list[Engine]) -> Holder:
+    def best_holder(self, prompt: Prompt, holders: list[Engine]) -> Holder:
         """The engine that is believed to have most of a prompt's beginning."""
         best = Holder("", "", 0)
         shared = prompt.chain[:-1]
