--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -316,12 +316,12 @@
             pace.done(
                 choice.tokens, choice.reading, seconds, now, choice.urgency
             )
-        self.tell()
+        self.notify_load_change()
 
     def dropped(self, choice: Choice) -> None:
         """Notes that a prompt is not read where it was sent."""
         self.remove(choice)
-        self.tell()
+        self.notify_load_change()
 
     def remove(self, choice: Choice) -> None:
         """Takes a prompt out of what waits."""
@@ -330,7 +330,7 @@
         if choice.late_key:
             self.late.remove(choice.late_key, choice.late_load)
 
-    def tell(self) -> None:
+    def notify_load_change(self) -> None:
         """Lets the other nodes know that loads have changed."""
         if self.listener is not None:
             self.listener.done()
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -271,7 +271,7 @@
         share = stream_share(replica, service, progress.call)
         self.directory.started(replica.instance, time.monotonic())
         self.directory.streams.add(replica.instance, share)
-        self.prefix_router.tell()
+        self.prefix_router.notify_load_change()
         progress.record_sent(
             replica,
             route=route.name,
@@ -299,7 +299,7 @@
             self.quarantine.end_canary(run)
             self.directory.ended(replica.instance)
             self.directory.streams.remove(replica.instance, share)
-            self.prefix_router.tell()
+            self.prefix_router.notify_load_change()
         progress.handle = None
         self.directory.health.succeeded(replica.instance, time.monotonic())
 
