--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -172,7 +172,7 @@
             node.waiting.remote(str(sender), dict(own), self.now + 3.0)
             node.late.remote(str(sender), dict(late), self.now + 3.0)
             if placed is not None:
-                node.read_links(*placed)
+                node.add_remote_prompt(*placed)
 
     def run(self, asks: list[Ask]) -> float:
         """Plays a load; returns the share that was read on time."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -335,7 +335,7 @@
         if self.listener is not None:
             self.listener.done()
 
-    def read_links(
+    def add_remote_prompt(
         self, engine: str, found: list[int], tokens: list[int]
     ) -> None:
         """Notes that another node sent a prompt to an engine."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -34,7 +34,9 @@
             if instance not in self.directory.suspects:
                 self.directory.doubt(instance)
         for placed in news.placed:
-            self.homes.read_links(placed.engine, placed.links, placed.tokens)
+            self.homes.add_remote_prompt(
+                placed.engine, placed.links, placed.tokens
+            )
 
     def of_newest_start(self, engine: str, news: messages.News) -> bool:
         """Whether a peer speaks of the engine that this node knows."""
