--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -272,7 +272,7 @@
         choice: Choice,
         chain: chains.Chain,
         model: str,
-        memory: int,
+        cache_capacity: int,
         urgency: int | None,
     ) -> Choice:
         """Notes that a prompt goes to an engine, which will then have it.
@@ -289,7 +289,7 @@
             The choice with the load that it counts for, for `done` or
             `dropped`.
         """
-        self.cache_capacity = memory
+        self.cache_capacity = cache_capacity
         if urgency is not None:
             choice = choice._replace(
                 load=choice.load * LATE_LOAD_FRACTION,
@@ -301,7 +301,7 @@
             self.late.add(choice.late_key, choice.late_load)
         found = chains.links(chain, model)
         tokens = [part.tokens for part in chain]
-        self.caches.add_links(choice.engine, found, tokens, memory)
+        self.caches.add_links(choice.engine, found, tokens, cache_capacity)
         key = urgency_key(choice.engine, choice.urgency)
         self.waiting.add(key, choice.load)
         if self.listener is not None:
