--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -93,7 +93,7 @@
     """Decodes a request's headers and uses what they hold."""
     call = ingress.decode("POST", "/a/1", fields, b"", 1.0)
     assert call.deadline >= 1.0
-    homes = prefix_routing_module.Homes()
+    homes = prefix_routing_module.PrefixRouter()
     engine = prefix_routing_module.Engine("engine-1", "10.0.0.1:1")
     prompt = prefix_routing_module.Prompt(
         call.chain, call.model, call.prompt_tokens
--- a/features/support/made_up.py
+++ b/features/support/made_up.py
@@ -280,7 +280,7 @@
     made = gossip_module.Gossip(
         settings,
         mock.Mock(),
-        prefix_routing_module.Homes(),
+        prefix_routing_module.PrefixRouter(),
         leadership,
         directory,
         quarantine.Quarantine(runs.InterruptedRuns(directory)),
--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -133,7 +133,9 @@
         self.candidates = [
             prefix_routing_module.Engine(name, name) for name in self.names
         ]
-        self.nodes = [prefix_routing_module.Homes() for _ in range(nodes)]
+        self.nodes = [
+            prefix_routing_module.PrefixRouter() for _ in range(nodes)
+        ]
         self.numbers = itertools.count()
         self.events: list[tuple[float, int, object, tuple]] = []
         self.now = 0.0
@@ -226,7 +228,7 @@
 
     def shortest(
         self,
-        homes: prefix_routing_module.Homes,
+        homes: prefix_routing_module.PrefixRouter,
         prompt: prefix_routing_module.Prompt,
     ) -> prefix_routing_module.Choice:
         """The engine with the shortest queue, wherever parts are cached."""
--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -71,7 +71,7 @@
             store=settings_module.StoreSection("10.200.0.1:1"),
             peers=settings_module.PeersSection(f"{host}:{PORT}"),
         )
-        self.homes = prefix_routing_module.Homes()
+        self.homes = prefix_routing_module.PrefixRouter()
         directory = directory_module.Directory(random.Random(place))
         self.gossip = gossip_module.Gossip(
             settings,
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -120,7 +120,7 @@
         """An engine is done with a prompt."""
 
 
-class Homes:
+class PrefixRouter:
     """Chooses by home, wait and what is believed to be cached.
 
     >>> homes = Homes()
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -45,7 +45,7 @@
         directory: directory_module.Directory,
         configurations: configurations_module.Configurations,
         endpoints: types.Endpoints,
-        homes: prefix_routing_module.Homes,
+        homes: prefix_routing_module.PrefixRouter,
         gossip: gossip_module.Gossip,
         questions: questions_module.Questions,
     ):
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -103,7 +103,7 @@
         )
         if not settings.node.first_start:
             self.budget.started_at = time.monotonic()
-        self.homes = prefix_routing_module.Homes()
+        self.homes = prefix_routing_module.PrefixRouter()
         self.counters = counters_module.Counters()
         self.generations = generations.Generations(
             self.directory,
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -70,7 +70,7 @@
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
         budget: retry_budget.RetryBudget,
-        prefix_router: prefix_routing_module.Homes,
+        prefix_router: prefix_routing_module.PrefixRouter,
         quarantine: quarantine_module.Quarantine,
     ):
         self.directory = directory
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -16,7 +16,7 @@
 
     def __init__(
         self,
-        homes: prefix_routing_module.Homes,
+        homes: prefix_routing_module.PrefixRouter,
         directory: directory_module.Directory,
     ):
         self.homes = homes
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -72,7 +72,7 @@
         self,
         settings: settings_module.Settings,
         store: store_module.Store,
-        homes: prefix_routing_module.Homes,
+        homes: prefix_routing_module.PrefixRouter,
         leadership: leadership_module.Leadership,
         directory: directory_module.Directory,
         crashes: quarantine_module.Quarantine,
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -69,7 +69,7 @@
         configurations: configurations_module.Configurations,
         endpoints: types.Endpoints,
         gossip: gossip_module.Gossip,
-        homes: prefix_routing_module.Homes,
+        homes: prefix_routing_module.PrefixRouter,
     ):
         self.gossip = gossip
         self.homes = homes
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -39,7 +39,7 @@
         self,
         directory: directory_module.Directory,
         endpoints: types.Endpoints,
-        prefix_router: prefix_routing_module.Homes,
+        prefix_router: prefix_routing_module.PrefixRouter,
         quarantine: quarantine_module.Quarantine,
     ):
         self.directory = directory
