--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -198,7 +198,7 @@
         key = chains.shared_key(chain, model) or chains.own_key(chain, model)
         shared_tokens = sum(part.tokens for part in chain[:-1])
         holder = self.best_holder(prompt, holders)
-        ranked = order(key, engines)
+        ranked = rank_engines(key, engines)
         best = None
         best_cost = math.inf
         for place, engine in enumerate(ranked[:MAX_CONSIDERED_ENGINES]):
@@ -356,7 +356,7 @@
     return f"{engine}/{min(urgency, MAX_URGENCY)}"
 
 
-def order(key: int, engines: list[Engine]) -> list[Engine]:
+def rank_engines(key: int, engines: list[Engine]) -> list[Engine]:
     """Ranks engines for a beginning; the first is its home."""
     return sorted(engines, key=lambda one: -rank(key, one.name))
 
