--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -358,9 +358,9 @@
 
 def rank_engines(key: int, engines: list[Engine]) -> list[Engine]:
     """Ranks engines for a beginning; the first is its home."""
-    return sorted(engines, key=lambda one: -rank(key, one.name))
+    return sorted(engines, key=lambda one: -rendezvous_weight(key, one.name))
 
 
-def rank(key: int, name: str) -> int:
+def rendezvous_weight(key: int, name: str) -> int:
     """The weight of an engine for a beginning in rendezvous hashing."""
     return xxhash.xxh3_64_intdigest(f"{key}\n{name}".encode())
