--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -10,7 +10,7 @@
 
 # Prompt tokens a second that an engine is taken to read before any prompt
 # was seen: two accelerators with a large mixture-of-experts model.
-FIRST_RATE = 40_000.0
+INITIAL_RATE = 40_000.0
 # Seconds that reading any prompt takes beside its tokens, as taken at first:
 # connecting the batch, the first step, the way there and back.
 FIRST_OVERHEAD = 0.03
@@ -52,7 +52,7 @@
     """
 
     def __init__(self):
-        self.rate = FIRST_RATE
+        self.rate = INITIAL_RATE
         self.waits: dict[int, Wait] = {}
 
     def expected(self, tokens: int) -> float:
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -144,7 +144,7 @@
     def median_rate(self) -> float:
         """Tokens a second that engines read, the middle one of those known."""
         rates = [pace.rate for pace in self.prefill_estimators.values()]
-        return statistics.median(rates) if rates else prefill_rates.FIRST_RATE
+        return statistics.median(rates) if rates else prefill_rates.INITIAL_RATE
 
     def expected_wait(
         self, engine: str, now: float, urgency: int = MAX_URGENCY
