--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -13,7 +13,7 @@
 INITIAL_RATE = 40_000.0
 # Seconds that reading any prompt takes beside its tokens, as taken at first:
 # connecting the batch, the first step, the way there and back.
-FIRST_OVERHEAD = 0.03
+PROMPT_OVERHEAD_SECONDS = 0.03
 # Seconds of an engine's time that reading a prompt takes beside its tokens: a
 # busy engine reads several short prompts in one step of 4 to 7 ms, and takes
 # the next ones while an answer is on its way. Taken for 30 ms each, 27 prompts
@@ -57,7 +57,7 @@
 
     def expected(self, tokens: int) -> float:
         """Seconds to read so many tokens on an idle engine."""
-        return FIRST_OVERHEAD + tokens / self.rate
+        return PROMPT_OVERHEAD_SECONDS + tokens / self.rate
 
     def occupied(self, tokens: int) -> float:
         """Seconds for which reading so many tokens keeps others waiting."""
@@ -84,9 +84,9 @@
         seen = self.delay_seen(now, urgency)
         wait = (1 - WEIGHT) * seen + WEIGHT * excess
         self.waits[urgency] = Wait(wait, now)
-        if tokens < LEAST_TOKENS or seconds <= FIRST_OVERHEAD:
+        if tokens < LEAST_TOKENS or seconds <= PROMPT_OVERHEAD_SECONDS:
             return
-        rate = tokens / (seconds - FIRST_OVERHEAD)
+        rate = tokens / (seconds - PROMPT_OVERHEAD_SECONDS)
         if rate > self.rate:
             self.rate *= 1 + STEP * (1 - FAST_SHARE)
         else:
