--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -19,7 +19,7 @@
 # the next ones while an answer is on its way. Taken for 30 ms each, 27 prompts
 # of 290 tokens that waited counted as 1 s, and callers with 2 s left were
 # refused.
-STEP_TIME = 0.002
+ENGINE_OVERHEAD_SECONDS = 0.002
 # Share of the observations that are to be faster than the estimate: a prompt
 # that waited says nothing of the engine's speed, one that did not does.
 FAST_SHARE = 0.25
@@ -61,7 +61,7 @@
 
     def occupied(self, tokens: int) -> float:
         """Seconds for which reading so many tokens keeps others waiting."""
-        return STEP_TIME + tokens / self.rate
+        return ENGINE_OVERHEAD_SECONDS + tokens / self.rate
 
     def done(
         self,
