--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -22,7 +22,7 @@
 ENGINE_OVERHEAD_SECONDS = 0.002
 # Share of the observations that are to be faster than the estimate: a prompt
 # that waited says nothing of the engine's speed, one that did not does.
-FAST_SHARE = 0.25
+FAST_FRACTION = 0.25
 # Relative step of the rate estimate per observation; 20 observations move it
 # by a third.
 STEP = 0.03
@@ -88,9 +88,9 @@
             return
         rate = tokens / (seconds - PROMPT_OVERHEAD_SECONDS)
         if rate > self.rate:
-            self.rate *= 1 + STEP * (1 - FAST_SHARE)
+            self.rate *= 1 + STEP * (1 - FAST_FRACTION)
         else:
-            self.rate *= 1 - STEP * FAST_SHARE
+            self.rate *= 1 - STEP * FAST_FRACTION
 
     def delay_seen(self, now: float, urgency: int = 0) -> float:
         """The waits that prompts of one urgency had, with age."""
