--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -25,7 +25,7 @@
 FAST_FRACTION = 0.25
 # Relative step of the rate estimate per observation; 20 observations move it
 # by a third.
-STEP = 0.03
+RATE_STEP_FRACTION = 0.03
 # Tokens below which a prompt says little about the rate: their reading takes
 # less than the overhead.
 LEAST_TOKENS = 1500
@@ -88,9 +88,9 @@
             return
         rate = tokens / (seconds - PROMPT_OVERHEAD_SECONDS)
         if rate > self.rate:
-            self.rate *= 1 + STEP * (1 - FAST_FRACTION)
+            self.rate *= 1 + RATE_STEP_FRACTION * (1 - FAST_FRACTION)
         else:
-            self.rate *= 1 - STEP * FAST_FRACTION
+            self.rate *= 1 - RATE_STEP_FRACTION * FAST_FRACTION
 
     def delay_seen(self, now: float, urgency: int = 0) -> float:
         """The waits that prompts of one urgency had, with age."""
