--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -28,7 +28,7 @@
 RATE_STEP_FRACTION = 0.03
 # Tokens below which a prompt says little about the rate: their reading takes
 # less than the overhead.
-LEAST_TOKENS = 1500
+MIN_TOKENS = 1500
 # Seconds after which half of a wait that was seen is forgotten: the queue of
 # an engine that reads 40,000 tokens a second turns over in less.
 HALF_LIFE = 0.6
@@ -84,7 +84,7 @@
         seen = self.delay_seen(now, urgency)
         wait = (1 - WEIGHT) * seen + WEIGHT * excess
         self.waits[urgency] = Wait(wait, now)
-        if tokens < LEAST_TOKENS or seconds <= PROMPT_OVERHEAD_SECONDS:
+        if tokens < MIN_TOKENS or seconds <= PROMPT_OVERHEAD_SECONDS:
             return
         rate = tokens / (seconds - PROMPT_OVERHEAD_SECONDS)
         if rate > self.rate:
