--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -31,7 +31,7 @@
 MIN_TOKENS = 1500
 # Seconds after which half of a wait that was seen is forgotten: the queue of
 # an engine that reads 40,000 tokens a second turns over in less.
-HALF_LIFE = 0.6
+WAIT_HALF_LIFE_SECONDS = 0.6
 # Weight of one observed wait.
 WEIGHT = 0.5
 
@@ -98,4 +98,4 @@
         if wait is None:
             return 0.0
         age = max(0.0, now - wait.at)
-        return wait.seconds * math.pow(0.5, age / HALF_LIFE)
+        return wait.seconds * math.pow(0.5, age / WAIT_HALF_LIFE_SECONDS)
