--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -33,7 +33,7 @@
 # an engine that reads 40,000 tokens a second turns over in less.
 WAIT_HALF_LIFE_SECONDS = 0.6
 # Weight of one observed wait.
-WEIGHT = 0.5
+WAIT_SMOOTHING = 0.5
 
 
 class Wait(NamedTuple):
@@ -82,7 +82,7 @@
         """
         excess = max(0.0, seconds - expected)
         seen = self.delay_seen(now, urgency)
-        wait = (1 - WEIGHT) * seen + WEIGHT * excess
+        wait = (1 - WAIT_SMOOTHING) * seen + WAIT_SMOOTHING * excess
         self.waits[urgency] = Wait(wait, now)
         if tokens < MIN_TOKENS or seconds <= PROMPT_OVERHEAD_SECONDS:
             return
