--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -36,7 +36,7 @@
 WAIT_SMOOTHING = 0.5
 
 
-class Wait(NamedTuple):
+class ObservedWait(NamedTuple):
     """Seconds that prompts waited, and when that was seen last."""
 
     seconds: float
@@ -53,7 +53,7 @@
 
     def __init__(self):
         self.rate = INITIAL_RATE
-        self.waits: dict[int, Wait] = {}
+        self.waits: dict[int, ObservedWait] = {}
 
     def expected(self, tokens: int) -> float:
         """Seconds to read so many tokens on an idle engine."""
@@ -83,7 +83,7 @@
         excess = max(0.0, seconds - expected)
         seen = self.delay_seen(now, urgency)
         wait = (1 - WAIT_SMOOTHING) * seen + WAIT_SMOOTHING * excess
-        self.waits[urgency] = Wait(wait, now)
+        self.waits[urgency] = ObservedWait(wait, now)
         if tokens < MIN_TOKENS or seconds <= PROMPT_OVERHEAD_SECONDS:
             return
         rate = tokens / (seconds - PROMPT_OVERHEAD_SECONDS)
