--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -236,7 +236,7 @@
             self.names,
             key=lambda one: (homes.expected_wait(one, self.now), one),
         )
-        reading = homes.prefill_estimator(name).expected(prompt.tokens)
+        reading = homes.prefill_estimator(name).prefill_seconds(prompt.tokens)
         total = homes.expected_wait(name, self.now) + reading
         return prefix_routing_module.Choice(
             name, "", prompt.tokens, reading, total, reading
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -55,7 +55,7 @@
         self.rate = INITIAL_RATE
         self.waits: dict[int, ObservedWait] = {}
 
-    def expected(self, tokens: int) -> float:
+    def prefill_seconds(self, tokens: int) -> float:
         """Seconds to read so many tokens on an idle engine."""
         return PROMPT_OVERHEAD_SECONDS + tokens / self.rate
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -234,7 +234,7 @@
             cached = holder.tokens
         tokens = max(0, prompt.tokens - cached)
         pace = self.prefill_estimator(engine.name)
-        reading = pace.expected(tokens)
+        reading = pace.prefill_seconds(tokens)
         delay = self.expected_wait(engine.name, now, prompt.urgency)
         total = delay + copying + reading
         behind = self.late_ahead(engine.name, prompt.urgency, now)
