--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -59,7 +59,7 @@
         """Seconds to read so many tokens on an idle engine."""
         return PROMPT_OVERHEAD_SECONDS + tokens / self.rate
 
-    def occupied(self, tokens: int) -> float:
+    def busy_seconds(self, tokens: int) -> float:
         """Seconds for which reading so many tokens keeps others waiting."""
         return ENGINE_OVERHEAD_SECONDS + tokens / self.rate
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -238,7 +238,7 @@
         delay = self.expected_wait(engine.name, now, prompt.urgency)
         total = delay + copying + reading
         behind = self.late_ahead(engine.name, prompt.urgency, now)
-        load = pace.occupied(tokens)
+        load = pace.busy_seconds(tokens)
         return Choice(
             engine.name,
             peer,
