--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -63,7 +63,7 @@
         """Seconds for which reading so many tokens keeps others waiting."""
         return ENGINE_OVERHEAD_SECONDS + tokens / self.rate
 
-    def done(
+    def observe(
         self,
         tokens: int,
         expected: float,
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -313,7 +313,7 @@
         self.remove(choice)
         if not choice.late_key:
             pace = self.prefill_estimator(choice.engine)
-            pace.done(
+            pace.observe(
                 choice.tokens, choice.reading, seconds, now, choice.urgency
             )
         self.notify_load_change()
