--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -81,7 +81,7 @@
             urgency: Of its route: the urgent wait for less.
         """
         excess = max(0.0, seconds - expected)
-        seen = self.delay_seen(now, urgency)
+        seen = self.recent_wait(now, urgency)
         wait = (1 - WAIT_SMOOTHING) * seen + WAIT_SMOOTHING * excess
         self.waits[urgency] = ObservedWait(wait, now)
         if tokens < MIN_TOKENS or seconds <= PROMPT_OVERHEAD_SECONDS:
@@ -92,7 +92,7 @@
         else:
             self.rate *= 1 - RATE_STEP_FRACTION * FAST_FRACTION
 
-    def delay_seen(self, now: float, urgency: int = 0) -> float:
+    def recent_wait(self, now: float, urgency: int = 0) -> float:
         """The waits that prompts of one urgency had, with age."""
         wait = self.waits.get(urgency)
         if wait is None:
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -154,7 +154,7 @@
         Those that are less urgent hold it up by the piece being read only.
         """
         urgency = min(urgency, MAX_URGENCY)
-        seen = self.prefill_estimator(engine).delay_seen(now, urgency)
+        seen = self.prefill_estimator(engine).recent_wait(now, urgency)
         before = 0.0
         after = 0.0
         for other in range(MAX_URGENCY + 1):
