--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -43,7 +43,7 @@
     at: float
 
 
-class Pace:
+class PrefillEstimator:
     """What one engine's prompts took.
 
     >>> pace = Pace()
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -130,16 +130,18 @@
 
     def __init__(self):
         self.caches = chains.Caches()
-        self.prefill_estimators: dict[str, prefill_rates.Pace] = {}
+        self.prefill_estimators: dict[str, prefill_rates.PrefillEstimator] = {}
         self.waiting = cluster_totals.Shares()
         self.late = cluster_totals.Shares()
         self.demand = prefill_demand.Demand()
         self.cache_capacity = 0
         self.listener: LoadListener | None = None
 
-    def prefill_estimator(self, engine: str) -> prefill_rates.Pace:
+    def prefill_estimator(self, engine: str) -> prefill_rates.PrefillEstimator:
         """What is known of an engine's speed."""
-        return self.prefill_estimators.setdefault(engine, prefill_rates.Pace())
+        return self.prefill_estimators.setdefault(
+            engine, prefill_rates.PrefillEstimator()
+        )
 
     def median_rate(self) -> float:
         """Tokens a second that engines read, the middle one of those known."""
