--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -12,7 +12,7 @@
 
 # Seconds over which arrivals are remembered: longer than the gap between two
 # large prompts, shorter than a change of role takes.
-MEMORY = 1.5
+MEMORY_SECONDS = 1.5
 # Engines below which a rate is taken for none, so that idle services cost
 # nothing in messages between nodes.
 LEAST = 0.001
@@ -27,13 +27,13 @@
 
     def add(self, seconds: float, now: float) -> None:
         """Counts seconds of work that came."""
-        self.value = self.read(now) + seconds / MEMORY
+        self.value = self.read(now) + seconds / MEMORY_SECONDS
         self.updated = now
 
     def read(self, now: float) -> float:
         """Seconds of work a second, which is engines kept busy."""
         passed = max(0.0, now - self.updated)
-        return self.value * math.exp(-passed / MEMORY)
+        return self.value * math.exp(-passed / MEMORY_SECONDS)
 
 
 class Demand:
