--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -15,7 +15,7 @@
 MEMORY_SECONDS = 1.5
 # Engines below which a rate is taken for none, so that idle services cost
 # nothing in messages between nodes.
-LEAST = 0.001
+MIN_ENGINES = 0.001
 
 
 class Rate:
@@ -64,7 +64,7 @@
         found = {}
         for service, rate in self.rates.items():
             engines = rate.read(now)
-            if engines > LEAST:
+            if engines > MIN_ENGINES:
                 found[service] = engines
         return found
 
