--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -18,7 +18,7 @@
 MIN_ENGINES = 0.001
 
 
-class Rate:
+class WorkRate:
     """An exponentially smoothed sum of seconds by second."""
 
     def __init__(self):
@@ -46,7 +46,7 @@
     """
 
     def __init__(self):
-        self.rates: dict[str, Rate] = {}
+        self.rates: dict[str, WorkRate] = {}
         self.nodes = cluster_totals.Shares()
 
     def add(self, service: str, seconds: float, now: float) -> None:
@@ -57,7 +57,7 @@
             seconds: For which it would keep an engine busy.
             now: The time.
         """
-        self.rates.setdefault(service, Rate()).add(seconds, now)
+        self.rates.setdefault(service, WorkRate()).add(seconds, now)
 
     def own(self, now: float) -> dict[str, float]:
         """Engines kept busy by what comes to this node, by service."""
