--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -47,7 +47,7 @@
 
     def __init__(self):
         self.rates: dict[str, WorkRate] = {}
-        self.nodes = cluster_totals.Shares()
+        self.node_totals = cluster_totals.Shares()
 
     def add(self, service: str, seconds: float, now: float) -> None:
         """Counts a prompt that came to this node.
@@ -72,9 +72,9 @@
         self, node: str, engines: dict[str, float], until: float
     ) -> None:
         """Replaces what comes to another node, until it no longer counts."""
-        self.nodes.remote(node, engines, until)
+        self.node_totals.remote(node, engines, until)
 
     def total(self, service: str, now: float) -> float:
         """Engines kept busy by what comes to all nodes for a service."""
         own = self.own(now).get(service, 0.0)
-        return own + self.nodes.total(service, now)
+        return own + self.node_totals.total(service, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -97,7 +97,7 @@
             self.homes.waiting,
             self.directory.streams,
             self.homes.late,
-            self.homes.demand.nodes,
+            self.homes.demand.node_totals,
         )
 
     def own(self, now: float) -> messages.Amounts:
@@ -111,7 +111,7 @@
 
     def site(self, now: float) -> messages.Amounts:
         """What all nodes have."""
-        demand = self.homes.demand.nodes.totals(now)
+        demand = self.homes.demand.node_totals.totals(now)
         for service, engines in self.homes.demand.own(now).items():
             demand[service] = demand.get(service, 0.0) + engines
         return messages.Amounts(
