--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -68,7 +68,7 @@
                 found[service] = engines
         return found
 
-    def remote(
+    def set_remote(
         self, node: str, engines: dict[str, float], until: float
     ) -> None:
         """Replaces what comes to another node, until it no longer counts."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -128,7 +128,7 @@
         self.homes.waiting.remote(source, amounts.prompts, until)
         self.directory.streams.remote(source, amounts.streams, until)
         self.homes.late.remote(source, amounts.late, until)
-        self.homes.demand.remote(source, amounts.demand, until)
+        self.homes.demand.set_remote(source, amounts.demand, until)
 
     def drop(self, source: str) -> None:
         """Drops what a source said."""
