--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -36,7 +36,7 @@
         return self.value * math.exp(-passed / MEMORY_SECONDS)
 
 
-class Demand:
+class PrefillDemand:
     """What comes to all nodes for each service.
 
     >>> demand = Demand()
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -133,7 +133,7 @@
         self.prefill_estimators: dict[str, prefill_rates.PrefillEstimator] = {}
         self.waiting = cluster_totals.Shares()
         self.late = cluster_totals.Shares()
-        self.demand = prefill_demand.Demand()
+        self.demand = prefill_demand.PrefillDemand()
         self.cache_capacity = 0
         self.listener: LoadListener | None = None
 
