--- a/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
@@ -8,7 +8,7 @@
 import math
 
 # Amounts below which nothing is left: what adding and taking away leaves over.
-LEAST = 1e-9
+MIN_AMOUNT = 1e-9
 
 
 class Shares:
@@ -36,7 +36,7 @@
     def remove(self, engine: str, amount: float) -> None:
         """Takes from this node's own amount."""
         left = self.own.get(engine, 0.0) - amount
-        if left > LEAST:
+        if left > MIN_AMOUNT:
             self.own[engine] = left
         else:
             self.own.pop(engine, None)
@@ -85,7 +85,7 @@
         amounts, _ = self.others.pop(node, ({}, 0.0))
         for engine, amount in amounts.items():
             left = self.sums.get(engine, 0.0) - amount
-            if left > LEAST:
+            if left > MIN_AMOUNT:
                 self.sums[engine] = left
             else:
                 self.sums.pop(engine, None)
