--- a/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
@@ -26,7 +26,7 @@
         self.others: dict[str, tuple[dict[str, float], float]] = {}
         # What the others have together, so that asking costs the same however
         # many nodes there are.
-        self.sums: dict[str, float] = {}
+        self.remote_totals: dict[str, float] = {}
         self.next_end = math.inf
 
     def add(self, engine: str, amount: float) -> None:
@@ -49,19 +49,21 @@
         self.others[node] = (amounts, until)
         self.next_end = min(self.next_end, until)
         for engine, amount in amounts.items():
-            self.sums[engine] = self.sums.get(engine, 0.0) + amount
+            self.remote_totals[engine] = (
+                self.remote_totals.get(engine, 0.0) + amount
+            )
 
     def total(self, engine: str, now: float) -> float:
         """What all nodes have at an engine."""
         if now >= self.next_end:
             self.expire(now)
-        return self.own.get(engine, 0.0) + self.sums.get(engine, 0.0)
+        return self.own.get(engine, 0.0) + self.remote_totals.get(engine, 0.0)
 
     def totals(self, now: float) -> dict[str, float]:
         """What all nodes have, by engine."""
         if now >= self.next_end:
             self.expire(now)
-        found = dict(self.sums)
+        found = dict(self.remote_totals)
         for engine, amount in self.own.items():
             found[engine] = found.get(engine, 0.0) + amount
         return found
@@ -69,7 +71,7 @@
     def clear_others(self) -> None:
         """Drops what all other nodes have."""
         self.others.clear()
-        self.sums.clear()
+        self.remote_totals.clear()
         self.next_end = math.inf
 
     def expire(self, now: float) -> None:
@@ -84,15 +86,15 @@
         """Drops what one node has."""
         amounts, _ = self.others.pop(node, ({}, 0.0))
         for engine, amount in amounts.items():
-            left = self.sums.get(engine, 0.0) - amount
+            left = self.remote_totals.get(engine, 0.0) - amount
             if left > MIN_AMOUNT:
-                self.sums[engine] = left
+                self.remote_totals[engine] = left
             else:
-                self.sums.pop(engine, None)
+                self.remote_totals.pop(engine, None)
 
     def forget(self, engine: str) -> None:
         """Drops an engine that is gone."""
         self.own.pop(engine, None)
-        self.sums.pop(engine, None)
+        self.remote_totals.pop(engine, None)
         for amounts, _ in self.others.values():
             amounts.pop(engine, None)
