--- a/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
@@ -27,7 +27,7 @@
         # What the others have together, so that asking costs the same however
         # many nodes there are.
         self.remote_totals: dict[str, float] = {}
-        self.next_end = math.inf
+        self.next_expiry = math.inf
 
     def add(self, engine: str, amount: float) -> None:
         """Adds to this node's own amount."""
@@ -47,7 +47,7 @@
         """Replaces what another node has, until it no longer counts."""
         self.drop(node)
         self.others[node] = (amounts, until)
-        self.next_end = min(self.next_end, until)
+        self.next_expiry = min(self.next_expiry, until)
         for engine, amount in amounts.items():
             self.remote_totals[engine] = (
                 self.remote_totals.get(engine, 0.0) + amount
@@ -55,13 +55,13 @@
 
     def total(self, engine: str, now: float) -> float:
         """What all nodes have at an engine."""
-        if now >= self.next_end:
+        if now >= self.next_expiry:
             self.expire(now)
         return self.own.get(engine, 0.0) + self.remote_totals.get(engine, 0.0)
 
     def totals(self, now: float) -> dict[str, float]:
         """What all nodes have, by engine."""
-        if now >= self.next_end:
+        if now >= self.next_expiry:
             self.expire(now)
         found = dict(self.remote_totals)
         for engine, amount in self.own.items():
@@ -72,7 +72,7 @@
         """Drops what all other nodes have."""
         self.others.clear()
         self.remote_totals.clear()
-        self.next_end = math.inf
+        self.next_expiry = math.inf
 
     def expire(self, now: float) -> None:
         """Drops what no longer counts."""
@@ -80,7 +80,7 @@
             if now >= until:
                 self.drop(node)
         ends = [until for _, until in self.others.values()]
-        self.next_end = min(ends, default=math.inf)
+        self.next_expiry = min(ends, default=math.inf)
 
     def drop(self, node: str) -> None:
         """Drops what one node has."""
