--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -171,8 +171,8 @@
         for number, node in enumerate(self.nodes):
             if number == sender:
                 continue
-            node.waiting.remote(str(sender), dict(own), self.now + 3.0)
-            node.late.remote(str(sender), dict(late), self.now + 3.0)
+            node.waiting.set_remote(str(sender), dict(own), self.now + 3.0)
+            node.late.set_remote(str(sender), dict(late), self.now + 3.0)
             if placed is not None:
                 node.add_remote_prompt(*placed)
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
@@ -41,7 +41,7 @@
         else:
             self.own.pop(engine, None)
 
-    def remote(
+    def set_remote(
         self, node: str, amounts: dict[str, float], until: float
     ) -> None:
         """Replaces what another node has, until it no longer counts."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -72,7 +72,7 @@
         self, node: str, engines: dict[str, float], until: float
     ) -> None:
         """Replaces what comes to another node, until it no longer counts."""
-        self.node_totals.remote(node, engines, until)
+        self.node_totals.set_remote(node, engines, until)
 
     def total(self, service: str, now: float) -> float:
         """Engines kept busy by what comes to all nodes for a service."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -125,9 +125,9 @@
         self, source: str, amounts: messages.Amounts, until: float
     ) -> None:
         """Replaces what a source said, until it no longer counts."""
-        self.homes.waiting.remote(source, amounts.prompts, until)
-        self.directory.streams.remote(source, amounts.streams, until)
-        self.homes.late.remote(source, amounts.late, until)
+        self.homes.waiting.set_remote(source, amounts.prompts, until)
+        self.directory.streams.set_remote(source, amounts.streams, until)
+        self.homes.late.set_remote(source, amounts.late, until)
         self.homes.demand.set_remote(source, amounts.demand, until)
 
     def drop(self, source: str) -> None:
