--- a/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
@@ -45,7 +45,7 @@
         self, node: str, amounts: dict[str, float], until: float
     ) -> None:
         """Replaces what another node has, until it no longer counts."""
-        self.drop(node)
+        self.drop_node(node)
         self.others[node] = (amounts, until)
         self.next_expiry = min(self.next_expiry, until)
         for engine, amount in amounts.items():
@@ -78,11 +78,11 @@
         """Drops what no longer counts."""
         for node, (_, until) in list(self.others.items()):
             if now >= until:
-                self.drop(node)
+                self.drop_node(node)
         ends = [until for _, until in self.others.values()]
         self.next_expiry = min(ends, default=math.inf)
 
-    def drop(self, node: str) -> None:
+    def drop_node(self, node: str) -> None:
         """Drops what one node has."""
         amounts, _ = self.others.pop(node, ({}, 0.0))
         for engine, amount in amounts.items():
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -133,7 +133,7 @@
     def drop(self, source: str) -> None:
         """Drops what a source said."""
         for known in self.sorts():
-            known.drop(source)
+            known.drop_node(source)
 
     def clear(self) -> None:
         """Drops what all others said."""
