--- a/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
@@ -11,7 +11,7 @@
 MIN_AMOUNT = 1e-9
 
 
-class Shares:
+class ClusterTotals:
     """Amounts by engine, this node's own and those of the others.
 
     >>> shares = Shares()
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -47,7 +47,7 @@
 
     def __init__(self):
         self.rates: dict[str, WorkRate] = {}
-        self.node_totals = cluster_totals.Shares()
+        self.node_totals = cluster_totals.ClusterTotals()
 
     def add(self, service: str, seconds: float, now: float) -> None:
         """Counts a prompt that came to this node.
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -131,8 +131,8 @@
     def __init__(self):
         self.caches = chains.Caches()
         self.prefill_estimators: dict[str, prefill_rates.PrefillEstimator] = {}
-        self.waiting = cluster_totals.Shares()
-        self.late = cluster_totals.Shares()
+        self.waiting = cluster_totals.ClusterTotals()
+        self.late = cluster_totals.ClusterTotals()
         self.demand = prefill_demand.PrefillDemand()
         self.cache_capacity = 0
         self.listener: LoadListener | None = None
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -67,7 +67,7 @@
         self.alive: list[Callable[[str], None]] = []
         self.confirmed: dict[str, tuple[decision_types.Role, float]] = {}
         self.silence = silence_module.SilenceDetector()
-        self.streams = cluster_totals.Shares()
+        self.streams = cluster_totals.ClusterTotals()
         self.generating: dict[str, float] = {}
         self.health = health.Health(rng)
         self.gone = []
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -91,7 +91,7 @@
         self.homes = homes
         self.directory = directory
 
-    def sorts(self) -> tuple[cluster_totals.Shares, ...]:
+    def sorts(self) -> tuple[cluster_totals.ClusterTotals, ...]:
         """The sums of each sort of work, in the order of `Amounts`."""
         return (
             self.homes.waiting,
