--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -30,7 +30,7 @@
 from gypsumfold.platform import store as store_module
 
 ENGINE = "i-1"
-CHAIN = (chains.Part("shared", 13_000), chains.Part("own", 800))
+CHAIN = (chains.Block("shared", 13_000), chains.Block("own", 800))
 MEMORY = 400_000
 SERVICE = types.Service("lm", 100, MEMORY, 18_432, 1e9, 5.0, 3.0)
 ROUTE = routes.Route(
@@ -233,7 +233,7 @@
 )
 def step_late_list(context, born):
     context.endpoints.cache_list.return_value = types.CacheList(
-        [chains.Part(part.id, part.tokens) for part in CHAIN], born
+        [chains.Block(part.id, part.tokens) for part in CHAIN], born
     )
     lists = cache_lists.CacheLists(
         context.directory,
--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -280,12 +280,12 @@
     at = 0.0
     while at < seconds:
         at += rng.expovariate(rate)
-        own = chains.Part(f"own{len(asks)}", int(rng.expovariate(1 / 3000)))
+        own = chains.Block(f"own{len(asks)}", int(rng.expovariate(1 / 3000)))
         if rng.random() < 0.6:
-            shared = chains.Part(f"long{rng.randrange(beginnings)}", 13_000)
+            shared = chains.Block(f"long{rng.randrange(beginnings)}", 13_000)
             asks.append(Ask(at, (shared, own), 2, 0.8, 3.2))
         else:
-            shared = chains.Part(f"short{rng.randrange(40)}", 350)
+            shared = chains.Block(f"short{rng.randrange(40)}", 350)
             own = own._replace(tokens=min(own.tokens, 1100))
             asks.append(Ask(at, (shared, own), 0, 0.5, 2.4))
     return asks
@@ -296,8 +296,8 @@
     rng = random.Random(seed)
     asks = []
     for number in range(count):
-        shared = chains.Part(f"burst{number}", 13_000)
-        own = chains.Part(f"burst-own{number}", 3000)
+        shared = chains.Block(f"burst{number}", 13_000)
+        own = chains.Block(f"burst-own{number}", 3000)
         at = start + rng.random()
         asks.append(Ask(at, (shared, own), 2, 0.8, 3.2))
     return asks
@@ -329,6 +329,6 @@
     while at < pattern.at + seconds:
         at += rng.expovariate(rate)
         name = f"{pattern.urgency}-{pattern.at}-{len(asks)}"
-        own = chains.Part(name, rng.randint(*tokens))
+        own = chains.Block(name, rng.randint(*tokens))
         asks.append(pattern._replace(at=at, chain=(own,)))
     return asks
--- a/features/support/virtual_callers.py
+++ b/features/support/virtual_callers.py
@@ -182,11 +182,11 @@
         if shared:
             number = self.site.rng.randrange(4)
             chain = (
-                chains.Part(f"{path}-{number}", shared),
-                chains.Part(body.decode(), own),
+                chains.Block(f"{path}-{number}", shared),
+                chains.Block(body.decode(), own),
             )
             if body in self.fleet.crashing:
-                chain = (chains.Part(path, shared), chain[1])
+                chain = (chains.Block(path, shared), chain[1])
         now = self.site.clock()
         return types.Call(
             id=f"attempt-{next(self.numbers)}",
--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -11,7 +11,7 @@
 import xxhash
 
 
-class Part(NamedTuple):
+class Block(NamedTuple):
     """A piece of a prompt that may stand in other prompts too.
 
     Attributes:
@@ -23,7 +23,7 @@
     tokens: int
 
 
-Chain = tuple[Part, ...]
+Chain = tuple[Block, ...]
 
 
 def links(chain: Chain, model: str) -> list[int]:
@@ -115,7 +115,7 @@
             used -= size
         self.used[engine] = used
 
-    def add_parts(self, engine: str, parts: list[Part], capacity: int) -> None:
+    def add_parts(self, engine: str, parts: list[Block], capacity: int) -> None:
         """Notes what an engine says that it keeps, by parts.
 
         It keeps a part only with all that go before it in its prompt.
--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -220,7 +220,7 @@
 class CacheList(NamedTuple):
     """The parts of prompts that an engine keeps, and when it was started."""
 
-    blocks: list[chains.Part]
+    blocks: list[chains.Block]
     started_at: int = 0
 
 
--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -220,7 +220,7 @@
         exceptions.RecordInvalid: It cannot be read.
     """
     record = convert(value, CacheListRecord)
-    parts = [chains.Part(row[1], row[2]) for row in record.held]
+    parts = [chains.Block(row[1], row[2]) for row in record.held]
     return types.CacheList(parts, record.born or 0)
 
 
--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -150,7 +150,7 @@
                 f"{names.CHAIN} is not a list of ID:TOKENS",
                 outcomes.Outcome.NOT_RUN,
             )
-        parts.append(chains.Part(part_id, int(tokens)))
+        parts.append(chains.Block(part_id, int(tokens)))
     return tuple(parts)
 
 
