--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -26,7 +26,7 @@
 Chain = tuple[Block, ...]
 
 
-def links(chain: Chain, model: str) -> list[int]:
+def prefix_hashes(chain: Chain, model: str) -> list[int]:
     """Hashes the chain up to each of its parts, for one model."""
     digest = xxhash.xxh3_64(model.encode())
     found = []
@@ -48,14 +48,14 @@
     """
     if len(chain) < 2:
         return 0
-    return links(chain[:-1], model)[-1]
+    return prefix_hashes(chain[:-1], model)[-1]
 
 
 def own_key(chain: Chain, model: str) -> int:
     """Names a whole prompt; 0 for one without parts."""
     if not chain:
         return 0
-    return links(chain, model)[-1]
+    return prefix_hashes(chain, model)[-1]
 
 
 def part_key(part_id: str) -> int:
@@ -89,7 +89,7 @@
             capacity: Tokens that the engine's memory holds.
         """
         tokens = [part.tokens for part in chain]
-        self.add_links(engine, links(chain, model), tokens, capacity)
+        self.add_links(engine, prefix_hashes(chain, model), tokens, capacity)
 
     def add_links(
         self, engine: str, found: list[int], tokens: list[int], capacity: int
@@ -130,7 +130,7 @@
         if not kept:
             return 0
         total = 0
-        for part, link in zip(chain, links(chain, model), strict=True):
+        for part, link in zip(chain, prefix_hashes(chain, model), strict=True):
             if link not in kept and part_key(part.id) not in kept:
                 break
             total += part.tokens
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -301,7 +301,7 @@
                 late_load=choice.load,
             )
             self.late.add(choice.late_key, choice.late_load)
-        found = chains.links(chain, model)
+        found = chains.prefix_hashes(chain, model)
         tokens = [part.tokens for part in chain]
         self.caches.add_links(choice.engine, found, tokens, cache_capacity)
         key = urgency_key(choice.engine, choice.urgency)
