--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -36,7 +36,7 @@
     return found
 
 
-def shared_key(chain: Chain, model: str) -> int:
+def shared_prefix_key(chain: Chain, model: str) -> int:
     """Names the longest beginning that other prompts can share.
 
     The last part belongs to the request itself. The first part alone would
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -197,7 +197,9 @@
             None where there is no engine.
         """
         chain, model = prompt.chain, prompt.model
-        key = chains.shared_key(chain, model) or chains.own_key(chain, model)
+        key = chains.shared_prefix_key(chain, model) or chains.own_key(
+            chain, model
+        )
         shared_tokens = sum(part.tokens for part in chain[:-1])
         holder = self.best_holder(prompt, holders)
         ranked = rank_engines(key, engines)
