--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -51,7 +51,7 @@
     return prefix_hashes(chain[:-1], model)[-1]
 
 
-def own_key(chain: Chain, model: str) -> int:
+def prompt_key(chain: Chain, model: str) -> int:
     """Names a whole prompt; 0 for one without parts."""
     if not chain:
         return 0
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -197,7 +197,7 @@
             None where there is no engine.
         """
         chain, model = prompt.chain, prompt.model
-        key = chains.shared_prefix_key(chain, model) or chains.own_key(
+        key = chains.shared_prefix_key(chain, model) or chains.prompt_key(
             chain, model
         )
         shared_tokens = sum(part.tokens for part in chain[:-1])
