--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -58,7 +58,7 @@
     return prefix_hashes(chain, model)[-1]
 
 
-def part_key(part_id: str) -> int:
+def block_key(part_id: str) -> int:
     """Names a part by itself, where its chain is not known."""
     return xxhash.xxh3_64_intdigest(b"part\n" + part_id.encode())
 
@@ -120,7 +120,7 @@
 
         It keeps a part only with all that go before it in its prompt.
         """
-        found = [part_key(part.id) for part in parts]
+        found = [block_key(part.id) for part in parts]
         tokens = [part.tokens for part in parts]
         self.add_links(engine, found, tokens, capacity)
 
@@ -131,7 +131,7 @@
             return 0
         total = 0
         for part, link in zip(chain, prefix_hashes(chain, model), strict=True):
-            if link not in kept and part_key(part.id) not in kept:
+            if link not in kept and block_key(part.id) not in kept:
                 break
             total += part.tokens
         return total
