--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -89,9 +89,9 @@
             capacity: Tokens that the engine's memory holds.
         """
         tokens = [part.tokens for part in chain]
-        self.add_links(engine, prefix_hashes(chain, model), tokens, capacity)
+        self.add_hashes(engine, prefix_hashes(chain, model), tokens, capacity)
 
-    def add_links(
+    def add_hashes(
         self, engine: str, found: list[int], tokens: list[int], capacity: int
     ) -> None:
         """Notes that an engine has read a prompt, given as its links.
@@ -122,7 +122,7 @@
         """
         found = [block_key(part.id) for part in parts]
         tokens = [part.tokens for part in parts]
-        self.add_links(engine, found, tokens, capacity)
+        self.add_hashes(engine, found, tokens, capacity)
 
     def cached(self, engine: str, chain: Chain, model: str) -> int:
         """Counts the prompt tokens that an engine need not read."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -305,7 +305,7 @@
             self.late.add(choice.late_key, choice.late_load)
         found = chains.prefix_hashes(chain, model)
         tokens = [part.tokens for part in chain]
-        self.caches.add_links(choice.engine, found, tokens, cache_capacity)
+        self.caches.add_hashes(choice.engine, found, tokens, cache_capacity)
         key = urgency_key(choice.engine, choice.urgency)
         self.waiting.add(key, choice.load)
         if self.listener is not None:
@@ -344,7 +344,7 @@
     ) -> None:
         """Notes that another node sent a prompt to an engine."""
         if self.cache_capacity:
-            self.caches.add_links(engine, found, tokens, self.cache_capacity)
+            self.caches.add_hashes(engine, found, tokens, self.cache_capacity)
 
     def forget(self, engine: str) -> None:
         """Drops an engine that is gone."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -107,7 +107,7 @@
         if service is None:
             return
         self.homes.cache_capacity = service.cache_tokens
-        self.homes.caches.add_links(
+        self.homes.caches.add_hashes(
             caches.engine, caches.links, caches.tokens, service.cache_tokens
         )
 
