--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -115,7 +115,9 @@
             used -= size
         self.used[engine] = used
 
-    def add_parts(self, engine: str, parts: list[Block], capacity: int) -> None:
+    def add_blocks(
+        self, engine: str, parts: list[Block], capacity: int
+    ) -> None:
         """Notes what an engine says that it keeps, by parts.
 
         It keeps a part only with all that go before it in its prompt.
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -170,6 +170,6 @@
         ):
             return
         self.homes.cache_capacity = service.cache_tokens
-        self.homes.caches.add_parts(
+        self.homes.caches.add_blocks(
             replica.instance, found.blocks, service.cache_tokens
         )
