--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -252,10 +252,10 @@
                 self.starved += 1
                 continue
             chain = job.ask.chain
-            cached = engine.caches.cached("own", chain, "m")
+            cached = engine.caches.cached_tokens("own", chain, "m")
             if job.choice.peer:
                 peer = self.engines[job.choice.peer].caches
-                cached = max(cached, peer.cached("own", chain[:-1], "m"))
+                cached = max(cached, peer.cached_tokens("own", chain[:-1], "m"))
             tokens = sum(part.tokens for part in chain) - cached
             engine.free_at = self.now + self.step + tokens / RATE
             self.later(engine.free_at, self.finish, engine, number, job)
--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -126,7 +126,7 @@
         tokens = [part.tokens for part in parts]
         self.add_hashes(engine, found, tokens, capacity)
 
-    def cached(self, engine: str, chain: Chain, model: str) -> int:
+    def cached_tokens(self, engine: str, chain: Chain, model: str) -> int:
         """Counts the prompt tokens that an engine need not read."""
         kept = self.kept.get(engine)
         if not kept:
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -224,7 +224,9 @@
         now: float,
     ) -> Choice:
         """Works out how long a prompt takes at one engine."""
-        cached = self.caches.cached(engine.name, prompt.chain, prompt.model)
+        cached = self.caches.cached_tokens(
+            engine.name, prompt.chain, prompt.model
+        )
         peer = ""
         copying = 0.0
         gained = holder.tokens - cached
@@ -266,7 +268,9 @@
         best = Holder("", "", 0)
         shared = prompt.chain[:-1]
         for engine in holders:
-            tokens = self.caches.cached(engine.name, shared, prompt.model)
+            tokens = self.caches.cached_tokens(
+                engine.name, shared, prompt.model
+            )
             if tokens > best.tokens:
                 best = Holder(engine.name, engine.address, tokens)
         return best
