--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -70,7 +70,7 @@
     """An engine that reads prompts."""
 
     def __init__(self):
-        self.caches = chains.Caches()
+        self.caches = chains.PrefixCaches()
         self.queue: list[tuple[int, int, Job]] = []
         self.free_at = 0.0
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -63,7 +63,7 @@
     return xxhash.xxh3_64_intdigest(b"part\n" + part_id.encode())
 
 
-class Caches:
+class PrefixCaches:
     """What the engines are believed to keep of the prompts sent to them.
 
     Least recently used beginnings are dropped at the size of an engine's
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -129,7 +129,7 @@
     """
 
     def __init__(self):
-        self.caches = chains.Caches()
+        self.caches = chains.PrefixCaches()
         self.prefill_estimators: dict[str, prefill_rates.PrefillEstimator] = {}
         self.waiting = cluster_totals.ClusterTotals()
         self.late = cluster_totals.ClusterTotals()
