--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -13,7 +13,7 @@
 
 # Seconds from a read prompt to the first event at the caller: handing the KV
 # cache over and the first step (45 ms, median of a quiet minute).
-FIRST_EVENT = 0.06
+FIRST_EVENT_SECONDS = 0.06
 # Urgency of the most urgent deferred request: behind every request that is on
 # time and behind those of which nothing is said (5).
 LATE = 6
@@ -73,12 +73,12 @@
             deferred.
         load: Seconds for which it holds up others.
     """
-    remaining = expected + FIRST_EVENT
+    remaining = expected + FIRST_EVENT_SECONDS
     late = age + remaining > objective
     deferred = late and load > SMALL * objective
     if late:
         before = behind if deferred else 0.0
-        remaining = OVERTAKEN * (expected + before) + FIRST_EVENT
+        remaining = OVERTAKEN * (expected + before) + FIRST_EVENT_SECONDS
     hopeless = remaining > MARGIN * waits
     if deferred:
         level = min(LAST, LATE + urgency)
