--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -16,7 +16,7 @@
 FIRST_EVENT_SECONDS = 0.06
 # Urgency of the most urgent deferred request: behind every request that is on
 # time and behind those of which nothing is said (5).
-LATE = 6
+DEFERRED_URGENCY = 6
 # Share of its objective for which a late request may hold up others and yet
 # keep its place before less urgent ones, behind fresh ones of its own urgency.
 # Behind all of them, prompts of 6 ms waited 0.4 s for prompts of 60 to 300 ms
@@ -81,7 +81,7 @@
         remaining = OVERTAKEN * (expected + before) + FIRST_EVENT_SECONDS
     hopeless = remaining > MARGIN * waits
     if deferred:
-        level = min(LAST, LATE + urgency)
+        level = min(LAST, DEFERRED_URGENCY + urgency)
     else:
-        level = min(LATE - 1, LEVELS * urgency + int(late))
+        level = min(DEFERRED_URGENCY - 1, LEVELS * urgency + int(late))
     return Rank(level, late, deferred, hopeless)
