--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -21,7 +21,7 @@
 # keep its place before less urgent ones, behind fresh ones of its own urgency.
 # Behind all of them, prompts of 6 ms waited 0.4 s for prompts of 60 to 300 ms
 # for as long as 300 a second came, and were served less than these.
-SMALL = 0.1
+SMALL_LOAD_FRACTION = 0.1
 # Levels of urgency that engines know for each one of routes: one for requests
 # on time, one for small late ones.
 LEVELS = 2
@@ -75,7 +75,7 @@
     """
     remaining = expected + FIRST_EVENT_SECONDS
     late = age + remaining > objective
-    deferred = late and load > SMALL * objective
+    deferred = late and load > SMALL_LOAD_FRACTION * objective
     if late:
         before = behind if deferred else 0.0
         remaining = OVERTAKEN * (expected + before) + FIRST_EVENT_SECONDS
