--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -24,7 +24,7 @@
 SMALL_LOAD_FRACTION = 0.1
 # Levels of urgency that engines know for each one of routes: one for requests
 # on time, one for small late ones.
-LEVELS = 2
+LEVELS_PER_URGENCY = 2
 # The least urgent that engines know.
 LAST = 9
 # Times its expected seconds that a late request takes, since those that come
@@ -83,5 +83,7 @@
     if deferred:
         level = min(LAST, DEFERRED_URGENCY + urgency)
     else:
-        level = min(DEFERRED_URGENCY - 1, LEVELS * urgency + int(late))
+        level = min(
+            DEFERRED_URGENCY - 1, LEVELS_PER_URGENCY * urgency + int(late)
+        )
     return Rank(level, late, deferred, hopeless)
