--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -26,7 +26,7 @@
 # on time, one for small late ones.
 LEVELS_PER_URGENCY = 2
 # The least urgent that engines know.
-LAST = 9
+MAX_URGENCY = 9
 # Times its expected seconds that a late request takes, since those that come
 # after it go before it as long as they can be in time: engines that are a
 # third busy with these take half as long again.
@@ -81,7 +81,7 @@
         remaining = OVERTAKEN * (expected + before) + FIRST_EVENT_SECONDS
     hopeless = remaining > MARGIN * waits
     if deferred:
-        level = min(LAST, DEFERRED_URGENCY + urgency)
+        level = min(MAX_URGENCY, DEFERRED_URGENCY + urgency)
     else:
         level = min(
             DEFERRED_URGENCY - 1, LEVELS_PER_URGENCY * urgency + int(late)
