--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -30,7 +30,7 @@
 # Times its expected seconds that a late request takes, since those that come
 # after it go before it as long as they can be in time: engines that are a
 # third busy with these take half as long again.
-OVERTAKEN = 1.5
+OVERTAKING_FACTOR = 1.5
 # Share of the time a caller still waits that the expected one must leave:
 # expectations of 0.1 s and more are right within a third for most.
 MARGIN = 0.9
@@ -78,7 +78,9 @@
     deferred = late and load > SMALL_LOAD_FRACTION * objective
     if late:
         before = behind if deferred else 0.0
-        remaining = OVERTAKEN * (expected + before) + FIRST_EVENT_SECONDS
+        remaining = (
+            OVERTAKING_FACTOR * (expected + before) + FIRST_EVENT_SECONDS
+        )
     hopeless = remaining > MARGIN * waits
     if deferred:
         level = min(MAX_URGENCY, DEFERRED_URGENCY + urgency)
