--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -33,7 +33,7 @@
 OVERTAKING_FACTOR = 1.5
 # Share of the time a caller still waits that the expected one must leave:
 # expectations of 0.1 s and more are right within a third for most.
-MARGIN = 0.9
+TIMEOUT_FRACTION = 0.9
 
 
 class Rank(NamedTuple):
@@ -81,7 +81,7 @@
         remaining = (
             OVERTAKING_FACTOR * (expected + before) + FIRST_EVENT_SECONDS
         )
-    hopeless = remaining > MARGIN * waits
+    hopeless = remaining > TIMEOUT_FRACTION * waits
     if deferred:
         level = min(MAX_URGENCY, DEFERRED_URGENCY + urgency)
     else:
