--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -57,7 +57,7 @@
     age: float,
     expected: float,
     objective: float,
-    waits: float,
+    abandon_timeout: float,
     behind: float = 0.0,
     load: float = 0.0,
 ) -> Rank:
@@ -81,7 +81,7 @@
         remaining = (
             OVERTAKING_FACTOR * (expected + before) + FIRST_EVENT_SECONDS
         )
-    hopeless = remaining > TIMEOUT_FRACTION * waits
+    hopeless = remaining > TIMEOUT_FRACTION * abandon_timeout
     if deferred:
         level = min(MAX_URGENCY, DEFERRED_URGENCY + urgency)
     else:
