--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -58,7 +58,7 @@
     expected: float,
     objective: float,
     abandon_timeout: float,
-    behind: float = 0.0,
+    deferred_ahead: float = 0.0,
     load: float = 0.0,
 ) -> Rank:
     """Ranks a request by when its first event is expected.
@@ -77,7 +77,7 @@
     late = age + remaining > objective
     deferred = late and load > SMALL_LOAD_FRACTION * objective
     if late:
-        before = behind if deferred else 0.0
+        before = deferred_ahead if deferred else 0.0
         remaining = (
             OVERTAKING_FACTOR * (expected + before) + FIRST_EVENT_SECONDS
         )
