--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -16,7 +16,7 @@
 # Seconds after which half of a learnt slowdown is forgotten where nothing
 # ends any more: an estimate that refuses everything must not last, since it
 # would never be corrected. A load report is polled many times by then.
-HALF_LIFE = 5.0
+SLOWDOWN_HALF_LIFE_SECONDS = 5.0
 # Share of the output limit expected of a kind that was never seen.
 FIRST_OUTPUT_SHARE = 1.0
 
@@ -118,7 +118,9 @@
     if kind is None:
         return 1.0
     idle = max(0.0, now - kind.observed)
-    return 1.0 + (kind.slowdown - 1.0) * 0.5 ** (idle / HALF_LIFE)
+    return 1.0 + (kind.slowdown - 1.0) * 0.5 ** (
+        idle / SLOWDOWN_HALF_LIFE_SECONDS
+    )
 
 
 def nominal(
