--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -18,7 +18,7 @@
 # would never be corrected. A load report is polled many times by then.
 SLOWDOWN_HALF_LIFE_SECONDS = 5.0
 # Share of the output limit expected of a kind that was never seen.
-FIRST_OUTPUT_SHARE = 1.0
+INITIAL_OUTPUT_FRACTION = 1.0
 
 
 class Kind(NamedTuple):
@@ -86,7 +86,7 @@
     def output_tokens(self, request: types.Request) -> float:
         """The limit times the share that this kind used so far."""
         kind = self.kinds.get(request.kind)
-        share = kind.output_share if kind else FIRST_OUTPUT_SHARE
+        share = kind.output_share if kind else INITIAL_OUTPUT_FRACTION
         return request.output_tokens * share
 
     def observe(
