--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -21,7 +21,7 @@
 INITIAL_OUTPUT_FRACTION = 1.0
 
 
-class Kind(NamedTuple):
+class KindStatistics(NamedTuple):
     """What was learnt of one kind of request.
 
     Attributes:
@@ -67,7 +67,7 @@
     """
 
     def __init__(self):
-        self.kinds: dict[str, Kind] = {}
+        self.kinds: dict[str, KindStatistics] = {}
 
     def seconds(
         self, request: types.Request, report: types.Report | None, now: float
@@ -100,12 +100,14 @@
         if result.finish != types.Finish.DONE:
             return
         share = result.output_tokens / max(1, request.output_tokens)
-        old = self.kinds.get(request.kind, Kind(share, result.seconds))
+        old = self.kinds.get(
+            request.kind, KindStatistics(share, result.seconds)
+        )
         slowdown = current(old, now)
         if report is not None and report.decode_rate > 0:
             expected = nominal(request, report, result.output_tokens)
             slowdown = blend(slowdown, max(1.0, result.seconds / expected))
-        self.kinds[request.kind] = Kind(
+        self.kinds[request.kind] = KindStatistics(
             blend(old.output_share, share),
             blend(old.seconds, result.seconds),
             slowdown,
@@ -113,7 +115,7 @@
         )
 
 
-def current(kind: Kind | None, now: float) -> float:
+def current(kind: KindStatistics | None, now: float) -> float:
     """The slowdown, forgotten by half every `HALF_LIFE` seconds."""
     if kind is None:
         return 1.0
