--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -59,7 +59,7 @@
         """Learns from a dispatch that ended well."""
 
 
-class LearntEstimator:
+class LearnedEstimator:
     """Learns the answer's length and the slowdown by kind.
 
     >>> LearntEstimator().seconds(request, report, now=0.0)
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -60,7 +60,7 @@
         outliers=outliers.PeerOutliers(rng),
         reentry=recovery.ByArrival(),
         loads=loads.CorrectedLoads(),
-        estimator=estimates.LearntEstimator(),
+        estimator=estimates.LearnedEstimator(),
     )
 
 
