--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -77,7 +77,7 @@
         if report is None or report.decode_rate <= 0:
             return kind.seconds if kind else 0.0
         output = self.output_tokens(request)
-        return nominal(request, report, output) * current(kind, now)
+        return nominal(request, report, output) * current_slowdown(kind, now)
 
     def tokens(self, request: types.Request) -> float:
         """Prompt and expected output tokens; 1 for a plain call."""
@@ -103,7 +103,7 @@
         old = self.kinds.get(
             request.kind, KindStatistics(share, result.seconds)
         )
-        slowdown = current(old, now)
+        slowdown = current_slowdown(old, now)
         if report is not None and report.decode_rate > 0:
             expected = nominal(request, report, result.output_tokens)
             slowdown = blend(slowdown, max(1.0, result.seconds / expected))
@@ -115,7 +115,7 @@
         )
 
 
-def current(kind: KindStatistics | None, now: float) -> float:
+def current_slowdown(kind: KindStatistics | None, now: float) -> float:
     """The slowdown, forgotten by half every `HALF_LIFE` seconds."""
     if kind is None:
         return 1.0
