--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -77,7 +77,9 @@
         if report is None or report.decode_rate <= 0:
             return kind.seconds if kind else 0.0
         output = self.output_tokens(request)
-        return nominal(request, report, output) * current_slowdown(kind, now)
+        return nominal_seconds(request, report, output) * current_slowdown(
+            kind, now
+        )
 
     def tokens(self, request: types.Request) -> float:
         """Prompt and expected output tokens; 1 for a plain call."""
@@ -105,7 +107,7 @@
         )
         slowdown = current_slowdown(old, now)
         if report is not None and report.decode_rate > 0:
-            expected = nominal(request, report, result.output_tokens)
+            expected = nominal_seconds(request, report, result.output_tokens)
             slowdown = blend(slowdown, max(1.0, result.seconds / expected))
         self.kinds[request.kind] = KindStatistics(
             blend(old.output_share, share),
@@ -125,7 +127,7 @@
     )
 
 
-def nominal(
+def nominal_seconds(
     request: types.Request, report: types.Report, output_tokens: float
 ) -> float:
     """Seconds that an engine with nothing else to do would take."""
