--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -108,10 +108,10 @@
         slowdown = current_slowdown(old, now)
         if report is not None and report.decode_rate > 0:
             expected = nominal_seconds(request, report, result.output_tokens)
-            slowdown = blend(slowdown, max(1.0, result.seconds / expected))
+            slowdown = smooth(slowdown, max(1.0, result.seconds / expected))
         self.kinds[request.kind] = KindStatistics(
-            blend(old.output_share, share),
-            blend(old.seconds, result.seconds),
+            smooth(old.output_share, share),
+            smooth(old.seconds, result.seconds),
             slowdown,
             now,
         )
@@ -136,6 +136,6 @@
     return prefill + decode
 
 
-def blend(old: float, new: float) -> float:
+def smooth(old: float, new: float) -> float:
     """Moves an average a little towards a new value."""
     return old + SMOOTHING * (new - old)
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -54,7 +54,7 @@
         length = math.log(work)
         if self.mean is None:
             self.mean = length
-        self.mean = estimates.blend(self.mean, length)
+        self.mean = estimates.smooth(self.mean, length)
 
     def long(self, work: float) -> bool:
         """Whether this is much longer than the mean."""
