--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -25,7 +25,9 @@
 CRASHES = (("engine-1", 8.0), ("engine-2", 14.0), ("engine-3", 20.0))
 
 
-def play(rule: recovery.Reentry, seed: int, rate: float) -> tuple[float, float]:
+def play(
+    rule: recovery.ReentryOrder, seed: int, rate: float
+) -> tuple[float, float]:
     """Plays three crashes and returns both shares on time."""
 
     def make(rng: random.Random) -> policy_scheduler.PolicyScheduler:
--- a/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
@@ -12,7 +12,7 @@
 from gypsumfold.decisions import types
 
 
-class Reentry(Protocol):
+class ReentryOrder(Protocol):
     """Orders the waiting requests of one account and urgency."""
 
     def position(self, request: types.Request, now: float) -> float:
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -29,7 +29,7 @@
     placement: placement.Placement
     limits: limits.Limits
     outliers: outliers.Outliers
-    reentry: recovery.Reentry
+    reentry: recovery.ReentryOrder
     loads: loads.Loads
     estimator: estimates.Estimator
 
