--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -16,7 +16,7 @@
 from gypsumfold.decisions import recovery
 
 RULES = {
-    "rear": recovery.Rear,
+    "rear": recovery.BackOfQueue,
     "arrival": recovery.ByArrival,
     "head": recovery.Head,
 }
--- a/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
@@ -19,7 +19,7 @@
         """Lower goes first."""
 
 
-class Rear:
+class BackOfQueue:
     """As if it had come just now (option B).
 
     >>> Rear().position(request, now=5.0)
