--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -18,7 +18,7 @@
 RULES = {
     "rear": recovery.BackOfQueue,
     "arrival": recovery.ByArrival,
-    "head": recovery.Head,
+    "head": recovery.FrontOfQueue,
 }
 # Seconds that a crashed engine is away.
 AWAY = 4.0
--- a/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
@@ -43,7 +43,7 @@
         return request.arrival
 
 
-class Head:
+class FrontOfQueue:
     """Before all that waits (option E).
 
     >>> Head().position(recovered, now=5.0) < 0
