--- a/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
@@ -53,9 +53,9 @@
     def position(self, request: types.Request, now: float) -> float:
         """Recovered work goes first, the oldest of it before the rest."""
         if request.recovered:
-            return request.arrival - HEAD_START
+            return request.arrival - FRONT_OFFSET_SECONDS
         return request.arrival
 
 
 # Seconds; more than any clock here runs, so that recovered work sorts first.
-HEAD_START = 1e12
+FRONT_OFFSET_SECONDS = 1e12
