--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -267,7 +267,7 @@
                 worst, worst_key = item, key
         return worst
 
-    def remote(self, uses: list[types.Use]) -> None:
+    def remote(self, uses: list[types.AccountUsage]) -> None:
         """Replaces what accounts use through other nodes."""
         for account in self.accounts.values():
             account.remote = 0.0
@@ -288,13 +288,13 @@
         account = self.accounts[name]
         return account.rate(now) + account.remote > limit
 
-    def hottest(self, most: int, now: float) -> list[types.Use]:
+    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to peers."""
         uses = []
         for account in self.accounts.values():
             rate = account.rate(now)
             if rate >= IDLE:
-                uses.append(types.Use(account.name, rate))
+                uses.append(types.AccountUsage(account.name, rate))
         uses.sort(key=lambda use: -use.tokens_per_second)
         return uses[:most]
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -212,7 +212,7 @@
         """Replaces what accounts are entitled to."""
         self.parts.queue.declare(shares)
 
-    def hottest(self, most: int, now: float) -> list[types.Use]:
+    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
         return self.parts.queue.hottest(most, now)
 
@@ -221,7 +221,10 @@
         return self.meter.read(len(self.parts.queue.waiting), now)
 
     def peers(
-        self, demands: list[types.Demand], uses: list[types.Use], now: float
+        self,
+        demands: list[types.Demand],
+        uses: list[types.AccountUsage],
+        now: float,
     ) -> None:
         """Takes in what the other nodes say in their digests.
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -82,7 +82,7 @@
     def victim(self, now: float) -> Waiting | None:
         """The request to give up first where there are too many."""
 
-    def remote(self, uses: list[types.Use]) -> None:
+    def remote(self, uses: list[types.AccountUsage]) -> None:
         """Replaces what accounts use through other nodes."""
 
     def declare(self, shares: dict[str, types.Share]) -> None:
@@ -91,5 +91,5 @@
     def over_limit(self, name: str, now: float) -> bool:
         """Whether an account uses more than its declared limit."""
 
-    def hottest(self, most: int, now: float) -> list[types.Use]:
+    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to peers."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -38,11 +38,14 @@
     def demand(self, now: float) -> types.Demand:
         """What callers ask of this node, for the digest to its peers."""
 
-    def hottest(self, most: int, now: float) -> list[types.Use]:
+    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
 
     def peers(
-        self, demands: list[types.Demand], uses: list[types.Use], now: float
+        self,
+        demands: list[types.Demand],
+        uses: list[types.AccountUsage],
+        now: float,
     ) -> None:
         """Takes in what the other nodes say in their digests."""
 
@@ -110,11 +113,14 @@
         """Nothing is measured."""
         return types.Demand(0.0, 0.0, 0)
 
-    def hottest(self, most: int, now: float) -> list[types.Use]:
+    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
         """Nothing is measured."""
         return []
 
     def peers(
-        self, demands: list[types.Demand], uses: list[types.Use], now: float
+        self,
+        demands: list[types.Demand],
+        uses: list[types.AccountUsage],
+        now: float,
     ) -> None:
         """The other nodes make no difference."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/types.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/types.py
@@ -163,7 +163,7 @@
     tokens_per_second: float = 0.0
 
 
-class Use(NamedTuple):
+class AccountUsage(NamedTuple):
     """What one account uses of one service through one node."""
 
     account: str
--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -131,11 +131,13 @@
                 )
         return found
 
-    def uses(self, service: str) -> list[types.Use]:
+    def uses(self, service: str) -> list[types.AccountUsage]:
         """The hottest accounts of a service at the peers."""
         found = []
         for heard in self.heard.values():
             for one in heard.message.hottest:
                 if one.service_name == service:
-                    found.append(types.Use(one.account, one.tokens_per_second))
+                    found.append(
+                        types.AccountUsage(one.account, one.tokens_per_second)
+                    )
         return found
