--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -13,7 +13,7 @@
 
 # Seconds after which a report says nothing: eight polls at the default of
 # 0.25 s, the time after which an endpoint counts as silent too.
-STALE_AFTER = 2.0
+STALE_AFTER_SECONDS = 2.0
 
 
 class Flight(NamedTuple):
@@ -109,7 +109,7 @@
         """Notes a prompt that an engine processes for another one."""
         sent = self.prompted_at.setdefault(replica, collections.deque())
         sent.append((now, tokens))
-        while sent[0][0] < now - STALE_AFTER:
+        while sent[0][0] < now - STALE_AFTER_SECONDS:
             sent.popleft()
 
     def finished(self, request_id: str, now: float) -> Flight | None:
@@ -120,7 +120,7 @@
         self.at[flight.replica].pop(request_id, None)
         ended = self.ended.setdefault(flight.replica, collections.deque())
         ended.append(Ended(flight.sent, now))
-        while ended and ended[0].ended < now - STALE_AFTER:
+        while ended and ended[0].ended < now - STALE_AFTER_SECONDS:
             ended.popleft()
         return flight
 
@@ -130,7 +130,7 @@
         own = len(at)
         long = sum(at.values())
         report = replica.report
-        if report is None or now - report.taken > STALE_AFTER:
+        if report is None or now - report.taken > STALE_AFTER_SECONDS:
             return Load(False, own, self.prompts(at, 0.0), own, long)
         unseen = self.unseen(at, report.taken)
         gone = self.gone(replica.name, report.taken)
