--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -178,7 +178,7 @@
             draw = self.rng.random()
             self.draws[replica.name] = (report.taken, draw)
         free = max(0, capacity - report.running - report.waiting)
-        return load.unseen < math.floor(self.share * free + draw) + load.gone
+        return load.unseen < math.floor(self.share * free + draw) + load.ended
 
     def observe(
         self, flight: loads.Flight, result: types.Result, own: int
--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -57,7 +57,7 @@
     own: int
     long: int
     unseen: int = 0
-    gone: int = 0
+    ended: int = 0
     age: float = 0.0
 
 
