--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -71,7 +71,7 @@
 class Loads(Protocol):
     """Keeps the dispatches in progress and says how loaded a replica is."""
 
-    flights: dict[str, Flight]
+    in_flight: dict[str, Flight]
 
     def sent(self, flight: Flight) -> None:
         """Notes a dispatch."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -166,7 +166,7 @@
         self, request_id: str, result: types.Result, now: float
     ) -> list[types.Action]:
         """Notes the end of a dispatch and returns what to do now."""
-        flight = self.parts.loads.flights.get(request_id)
+        flight = self.parts.loads.in_flight.get(request_id)
         if flight is None:
             return self.pump(now)
         replica = self.selection.replicas.get(flight.replica)
@@ -317,7 +317,7 @@
         A short one gains nothing from a long one that ends much later.
         """
         count = 0
-        for flight in self.parts.loads.flights.values():
+        for flight in self.parts.loads.in_flight.values():
             count += item.long or not flight.long
         return count
 
@@ -339,7 +339,7 @@
     def drain(self) -> float:
         """Seconds until all that waits now will have been sent."""
         work = sum(item.work for item in self.parts.queue.waiting.values())
-        return work / max(1, len(self.parts.loads.flights))
+        return work / max(1, len(self.parts.loads.in_flight))
 
     def shut(self, now: float) -> bool:
         """Whether no replica has been open for longer than the grace."""
@@ -349,5 +349,5 @@
 
     def own(self, replica: str) -> int:
         """Own dispatches in progress at a replica."""
-        flights = self.parts.loads.flights.values()
+        flights = self.parts.loads.in_flight.values()
         return sum(flight.replica == replica for flight in flights)
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -189,7 +189,7 @@
     def look_for_overdue(self, now: float) -> None:
         """Tells the outlier rule how late the work of each replica is."""
         ratios: dict[str, list[float]] = {name: [] for name in self.replicas}
-        for flight in self.parts.loads.flights.values():
+        for flight in self.parts.loads.in_flight.values():
             if flight.expected > 0 and flight.replica in ratios:
                 age = now - flight.sent
                 ratios[flight.replica].append(age / flight.expected)
