--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -95,14 +95,14 @@
     """
 
     def __init__(self):
-        self.flights: dict[str, Flight] = {}
+        self.in_flight: dict[str, Flight] = {}
         self.at: dict[str, dict[str, bool]] = collections.defaultdict(dict)
         self.ended: dict[str, collections.deque[Ended]] = {}
         self.prompted_at: dict[str, collections.deque[tuple[float, int]]] = {}
 
     def sent(self, flight: Flight) -> None:
         """Notes a dispatch."""
-        self.flights[flight.request.id] = flight
+        self.in_flight[flight.request.id] = flight
         self.at[flight.replica][flight.request.id] = flight.long
 
     def prompted(self, replica: str, tokens: int, now: float) -> None:
@@ -114,7 +114,7 @@
 
     def finished(self, request_id: str, now: float) -> Flight | None:
         """Notes its end and returns it; None if it is not known."""
-        flight = self.flights.pop(request_id, None)
+        flight = self.in_flight.pop(request_id, None)
         if flight is None:
             return None
         self.at[flight.replica].pop(request_id, None)
@@ -143,7 +143,7 @@
 
     def unseen(self, at: dict[str, bool], taken: float) -> int:
         """Own dispatches that the report cannot contain."""
-        return sum(self.flights[name].sent > taken for name in at)
+        return sum(self.in_flight[name].sent > taken for name in at)
 
     def gone(self, replica: str, taken: float) -> int:
         """Own dispatches that the report contains and that have ended."""
@@ -154,7 +154,7 @@
         """Prompt tokens of own dispatches since ``taken``."""
         total = 0.0
         for name in at:
-            flight = self.flights[name]
+            flight = self.in_flight[name]
             if flight.sent > taken:
                 total += flight.request.prompt_tokens
         return total
