--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -96,14 +96,16 @@
 
     def __init__(self):
         self.in_flight: dict[str, Flight] = {}
-        self.at: dict[str, dict[str, bool]] = collections.defaultdict(dict)
+        self.by_replica: dict[str, dict[str, bool]] = collections.defaultdict(
+            dict
+        )
         self.ended: dict[str, collections.deque[Ended]] = {}
         self.prompted_at: dict[str, collections.deque[tuple[float, int]]] = {}
 
     def sent(self, flight: Flight) -> None:
         """Notes a dispatch."""
         self.in_flight[flight.request.id] = flight
-        self.at[flight.replica][flight.request.id] = flight.long
+        self.by_replica[flight.replica][flight.request.id] = flight.long
 
     def prompted(self, replica: str, tokens: int, now: float) -> None:
         """Notes a prompt that an engine processes for another one."""
@@ -117,7 +119,7 @@
         flight = self.in_flight.pop(request_id, None)
         if flight is None:
             return None
-        self.at[flight.replica].pop(request_id, None)
+        self.by_replica[flight.replica].pop(request_id, None)
         ended = self.ended.setdefault(flight.replica, collections.deque())
         ended.append(Ended(flight.sent, now))
         while ended and ended[0].ended < now - STALE_AFTER_SECONDS:
@@ -126,7 +128,7 @@
 
     def view(self, replica: types.Replica, now: float) -> Load:
         """What is believed of the replica."""
-        at = self.at.get(replica.name, {})
+        at = self.by_replica.get(replica.name, {})
         own = len(at)
         long = sum(at.values())
         report = replica.report
@@ -165,7 +167,7 @@
 
     def view(self, replica: types.Replica, now: float) -> Load:
         """What the report says; an idle replica where there is none."""
-        own = len(self.at.get(replica.name, {}))
+        own = len(self.by_replica.get(replica.name, {}))
         report = replica.report
         if report is None:
             return Load(True, 0, 0.0, own, 0)
