--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -100,7 +100,7 @@
             dict
         )
         self.ended: dict[str, collections.deque[Ended]] = {}
-        self.prompted_at: dict[str, collections.deque[tuple[float, int]]] = {}
+        self.prefills: dict[str, collections.deque[tuple[float, int]]] = {}
 
     def sent(self, flight: Flight) -> None:
         """Notes a dispatch."""
@@ -109,7 +109,7 @@
 
     def prompted(self, replica: str, tokens: int, now: float) -> None:
         """Notes a prompt that an engine processes for another one."""
-        sent = self.prompted_at.setdefault(replica, collections.deque())
+        sent = self.prefills.setdefault(replica, collections.deque())
         sent.append((now, tokens))
         while sent[0][0] < now - STALE_AFTER_SECONDS:
             sent.popleft()
@@ -138,7 +138,7 @@
         gone = self.gone(replica.name, report.taken)
         occupied = max(own, report.running + report.waiting + unseen - gone)
         prefill = report.prefill_tokens + self.prompts(at, report.taken)
-        for sent, tokens in self.prompted_at.get(replica.name, ()):
+        for sent, tokens in self.prefills.get(replica.name, ()):
             prefill += tokens * (sent > report.taken)
         age = now - report.taken
         return Load(True, occupied, prefill, own, long, unseen, gone, age)
