--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -76,7 +76,7 @@
     def sent(self, flight: Flight) -> None:
         """Notes a dispatch."""
 
-    def prompted(self, replica: str, tokens: int, now: float) -> None:
+    def prefill_sent(self, replica: str, tokens: int, now: float) -> None:
         """Notes a prompt that an engine processes for another one."""
 
     def finished(self, request_id: str, now: float) -> Flight | None:
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -167,7 +167,7 @@
             if backlog < least:
                 best, least = replica.name, backlog
         if best:
-            self.parts.loads.prompted(best, request.prompt_tokens, now)
+            self.parts.loads.prefill_sent(best, request.prompt_tokens, now)
         return best
 
     def backlog(self, replica: types.Replica, now: float) -> float:
