--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -107,7 +107,7 @@
         self.in_flight[flight.request.id] = flight
         self.by_replica[flight.replica][flight.request.id] = flight.long
 
-    def prompted(self, replica: str, tokens: int, now: float) -> None:
+    def prefill_sent(self, replica: str, tokens: int, now: float) -> None:
         """Notes a prompt that an engine processes for another one."""
         sent = self.prefills.setdefault(replica, collections.deque())
         sent.append((now, tokens))
