--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -134,7 +134,7 @@
         report = replica.report
         if report is None or now - report.taken > STALE_AFTER_SECONDS:
             return Load(False, own, self.prompts(at, 0.0), own, long)
-        unseen = self.unseen(at, report.taken)
+        unseen = self.count_unseen(at, report.taken)
         gone = self.gone(replica.name, report.taken)
         occupied = max(own, report.running + report.waiting + unseen - gone)
         prefill = report.prefill_tokens + self.prompts(at, report.taken)
@@ -143,7 +143,7 @@
         age = now - report.taken
         return Load(True, occupied, prefill, own, long, unseen, gone, age)
 
-    def unseen(self, at: dict[str, bool], taken: float) -> int:
+    def count_unseen(self, at: dict[str, bool], taken: float) -> int:
         """Own dispatches that the report cannot contain."""
         return sum(self.in_flight[name].sent > taken for name in at)
 
