--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -135,7 +135,7 @@
         if report is None or now - report.taken > STALE_AFTER_SECONDS:
             return Load(False, own, self.prompts(at, 0.0), own, long)
         unseen = self.count_unseen(at, report.taken)
-        gone = self.gone(replica.name, report.taken)
+        gone = self.count_ended(replica.name, report.taken)
         occupied = max(own, report.running + report.waiting + unseen - gone)
         prefill = report.prefill_tokens + self.prompts(at, report.taken)
         for sent, tokens in self.prefills.get(replica.name, ()):
@@ -147,7 +147,7 @@
         """Own dispatches that the report cannot contain."""
         return sum(self.in_flight[name].sent > taken for name in at)
 
-    def gone(self, replica: str, taken: float) -> int:
+    def count_ended(self, replica: str, taken: float) -> int:
         """Own dispatches that the report contains and that have ended."""
         ended = self.ended.get(replica, ())
         return sum(end.sent <= taken < end.ended for end in ended)
