--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -133,11 +133,15 @@
         long = sum(at.values())
         report = replica.report
         if report is None or now - report.taken > STALE_AFTER_SECONDS:
-            return Load(False, own, self.prompts(at, 0.0), own, long)
+            return Load(
+                False, own, self.prompt_tokens_since(at, 0.0), own, long
+            )
         unseen = self.count_unseen(at, report.taken)
         gone = self.count_ended(replica.name, report.taken)
         occupied = max(own, report.running + report.waiting + unseen - gone)
-        prefill = report.prefill_tokens + self.prompts(at, report.taken)
+        prefill = report.prefill_tokens + self.prompt_tokens_since(
+            at, report.taken
+        )
         for sent, tokens in self.prefills.get(replica.name, ()):
             prefill += tokens * (sent > report.taken)
         age = now - report.taken
@@ -152,7 +156,7 @@
         ended = self.ended.get(replica, ())
         return sum(end.sent <= taken < end.ended for end in ended)
 
-    def prompts(self, at: dict[str, bool], taken: float) -> float:
+    def prompt_tokens_since(self, at: dict[str, bool], taken: float) -> float:
         """Prompt tokens of own dispatches since ``taken``."""
         total = 0.0
         for name in at:
