--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -61,7 +61,7 @@
     age: float = 0.0
 
 
-class Ended(NamedTuple):
+class EndedDispatch(NamedTuple):
     """An own dispatch that ended; it may still be in the last report."""
 
     sent: float
@@ -99,7 +99,7 @@
         self.by_replica: dict[str, dict[str, bool]] = collections.defaultdict(
             dict
         )
-        self.ended: dict[str, collections.deque[Ended]] = {}
+        self.ended: dict[str, collections.deque[EndedDispatch]] = {}
         self.prefills: dict[str, collections.deque[tuple[float, int]]] = {}
 
     def sent(self, flight: Flight) -> None:
@@ -121,7 +121,7 @@
             return None
         self.by_replica[flight.replica].pop(request_id, None)
         ended = self.ended.setdefault(flight.replica, collections.deque())
-        ended.append(Ended(flight.sent, now))
+        ended.append(EndedDispatch(flight.sent, now))
         while ended and ended[0].ended < now - STALE_AFTER_SECONDS:
             ended.popleft()
         return flight
