--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -86,7 +86,7 @@
         """Sets this node's share of what all nodes send, above 0 to 1."""
 
     def observe(
-        self, flight: loads.Flight, result: types.Result, own: int
+        self, flight: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
         """Learns from the end of a dispatch.
 
@@ -181,7 +181,7 @@
         return load.unseen < math.floor(self.share * free + draw) + load.ended
 
     def observe(
-        self, flight: loads.Flight, result: types.Result, own: int
+        self, flight: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
         """Learns from the end of a dispatch."""
         if result.finish == types.Finish.CANCELLED:
@@ -221,6 +221,6 @@
         """Changes nothing."""
 
     def observe(
-        self, flight: loads.Flight, result: types.Result, own: int
+        self, flight: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
         """Learns nothing."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -16,7 +16,7 @@
 STALE_AFTER_SECONDS = 2.0
 
 
-class Flight(NamedTuple):
+class InFlightRequest(NamedTuple):
     """One own dispatch in progress.
 
     Attributes:
@@ -71,15 +71,15 @@
 class Loads(Protocol):
     """Keeps the dispatches in progress and says how loaded a replica is."""
 
-    in_flight: dict[str, Flight]
+    in_flight: dict[str, InFlightRequest]
 
-    def sent(self, flight: Flight) -> None:
+    def sent(self, flight: InFlightRequest) -> None:
         """Notes a dispatch."""
 
     def prefill_sent(self, replica: str, tokens: int, now: float) -> None:
         """Notes a prompt that an engine processes for another one."""
 
-    def finished(self, request_id: str, now: float) -> Flight | None:
+    def finished(self, request_id: str, now: float) -> InFlightRequest | None:
         """Notes its end and returns it; None if it is not known."""
 
     def view(self, replica: types.Replica, now: float) -> Load:
@@ -95,14 +95,14 @@
     """
 
     def __init__(self):
-        self.in_flight: dict[str, Flight] = {}
+        self.in_flight: dict[str, InFlightRequest] = {}
         self.by_replica: dict[str, dict[str, bool]] = collections.defaultdict(
             dict
         )
         self.ended: dict[str, collections.deque[EndedDispatch]] = {}
         self.prefills: dict[str, collections.deque[tuple[float, int]]] = {}
 
-    def sent(self, flight: Flight) -> None:
+    def sent(self, flight: InFlightRequest) -> None:
         """Notes a dispatch."""
         self.in_flight[flight.request.id] = flight
         self.by_replica[flight.replica][flight.request.id] = flight.long
@@ -114,7 +114,7 @@
         while sent[0][0] < now - STALE_AFTER_SECONDS:
             sent.popleft()
 
-    def finished(self, request_id: str, now: float) -> Flight | None:
+    def finished(self, request_id: str, now: float) -> InFlightRequest | None:
         """Notes its end and returns it; None if it is not known."""
         flight = self.in_flight.pop(request_id, None)
         if flight is None:
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -273,7 +273,7 @@
         self.parts.queue.charge(item, now)
         expected = self.work(request, replica.report, now)
         cost = 0.0 if request.recovered else item.cost
-        flight = loads.Flight(
+        flight = loads.InFlightRequest(
             request, replica.name, now, expected, cost, item.long
         )
         self.parts.loads.sent(flight)
