--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -18,7 +18,7 @@
 
 # Sequences sent ahead of a full batch, so that a slot that falls free is
 # filled without waiting for a round trip and the next report.
-AHEAD = 1
+SLOTS_AHEAD = 1
 # Share of a replica kept for urgency 0. One slot of a batch of eight: six
 # engines then hold six slots, against urgent work of a tenth of all.
 HEADROOM = 0.125
@@ -125,7 +125,7 @@
             return UNKNOWN_LIMIT
         if report.kv_used >= KV_FULL:
             return 0
-        return report.batch + AHEAD
+        return report.batch + SLOTS_AHEAD
 
     def room(
         self,
