--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -21,7 +21,7 @@
 SLOTS_AHEAD = 1
 # Share of a replica kept for urgency 0. One slot of a batch of eight: six
 # engines then hold six slots, against urgent work of a tenth of all.
-HEADROOM = 0.125
+HEADROOM_FRACTION = 0.125
 # Share of a replica up to which long jobs may fill it while short ones come
 # too; half leaves every short job a slot that turns over quickly.
 LONG_SHARE = 0.5
@@ -141,7 +141,7 @@
         if held >= capacity:
             return False
         if urgency > 0 and capacity > 1:
-            capacity -= math.ceil(capacity * HEADROOM)
+            capacity -= math.ceil(capacity * HEADROOM_FRACTION)
         if long:
             capacity = max(1, int(capacity * LONG_SHARE))
         if held >= capacity:
