--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -24,7 +24,7 @@
 HEADROOM_FRACTION = 0.125
 # Share of a replica up to which long jobs may fill it while short ones come
 # too; half leaves every short job a slot that turns over quickly.
-LONG_SHARE = 0.5
+LONG_FRACTION = 0.5
 # Share of the KV cache above which an engine would preempt sequences;
 # vLLM's default watermark leaves 1 % and a sequence grows while it runs.
 KV_FULL = 0.95
@@ -143,7 +143,7 @@
         if urgency > 0 and capacity > 1:
             capacity -= math.ceil(capacity * HEADROOM_FRACTION)
         if long:
-            capacity = max(1, int(capacity * LONG_SHARE))
+            capacity = max(1, int(capacity * LONG_FRACTION))
         if held >= capacity:
             return False
         if plain or not load.fresh:
