--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -27,7 +27,7 @@
 LONG_FRACTION = 0.5
 # Share of the KV cache above which an engine would preempt sequences;
 # vLLM's default watermark leaves 1 % and a sequence grows while it runs.
-KV_FULL = 0.95
+KV_FULL_FRACTION = 0.95
 # Seconds of prompts that may wait inside an engine for its next steps; beyond
 # the report's age and a step or two, more only makes later urgent work wait.
 PREFILL_AHEAD = 0.6
@@ -123,7 +123,7 @@
             return int(learnt.limit if learnt else FIRST_LIMIT)
         if not load.fresh:
             return UNKNOWN_LIMIT
-        if report.kv_used >= KV_FULL:
+        if report.kv_used >= KV_FULL_FRACTION:
             return 0
         return report.batch + SLOTS_AHEAD
 
