--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -30,7 +30,7 @@
 KV_FULL_FRACTION = 0.95
 # Seconds of prompts that may wait inside an engine for its next steps; beyond
 # the report's age and a step or two, more only makes later urgent work wait.
-PREFILL_AHEAD = 0.6
+PREFILL_AHEAD_SECONDS = 0.6
 # Own dispatches to a replica whose report is missing or stale: enough to
 # notice that it works, too few to flood it.
 UNKNOWN_LIMIT = 2
@@ -159,7 +159,7 @@
         take by now this node sends its share.
         """
         report = replica.report
-        seconds = PREFILL_AHEAD + load.age
+        seconds = PREFILL_AHEAD_SECONDS + load.age
         free = seconds * report.prefill_rate - report.prefill_tokens
         unseen = load.prefill_tokens - report.prefill_tokens
         return unseen <= max(0.0, self.share * free) and free > 0
