--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -35,7 +35,7 @@
 # notice that it works, too few to flood it.
 UNKNOWN_LIMIT = 2
 # Plain services report no batch: start here and adapt (AIMD; Jacobson 1988).
-FIRST_LIMIT = 8.0
+INITIAL_LIMIT = 8.0
 LEAST_LIMIT = 1.0
 MOST_LIMIT = 1024.0
 DECREASE = 0.9
@@ -120,7 +120,7 @@
         report = replica.report
         if report is None or report.batch <= 0:
             learnt = self.plain.get(replica.name)
-            return int(learnt.limit if learnt else FIRST_LIMIT)
+            return int(learnt.limit if learnt else INITIAL_LIMIT)
         if not load.fresh:
             return UNKNOWN_LIMIT
         if report.kv_used >= KV_FULL_FRACTION:
@@ -186,7 +186,7 @@
         """Learns from the end of a dispatch."""
         if result.finish == types.Finish.CANCELLED:
             return
-        old = self.plain.get(flight.replica, Plain(FIRST_LIMIT, math.inf))
+        old = self.plain.get(flight.replica, Plain(INITIAL_LIMIT, math.inf))
         if result.finish != types.Finish.DONE:
             limit = max(LEAST_LIMIT, old.limit * DECREASE)
             self.plain[flight.replica] = Plain(limit, old.fast)
