--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -36,7 +36,7 @@
 UNKNOWN_LIMIT = 2
 # Plain services report no batch: start here and adapt (AIMD; Jacobson 1988).
 INITIAL_LIMIT = 8.0
-LEAST_LIMIT = 1.0
+MIN_LIMIT = 1.0
 MOST_LIMIT = 1024.0
 DECREASE = 0.9
 # A plain call that takes this many times the usual fast one says that calls
@@ -188,13 +188,13 @@
             return
         old = self.plain.get(flight.replica, Plain(INITIAL_LIMIT, math.inf))
         if result.finish != types.Finish.DONE:
-            limit = max(LEAST_LIMIT, old.limit * DECREASE)
+            limit = max(MIN_LIMIT, old.limit * DECREASE)
             self.plain[flight.replica] = Plain(limit, old.fast)
             return
         fast = min(old.fast * (1 + DRIFT), result.seconds)
         limit = old.limit
         if result.seconds > SLOW * fast:
-            limit = max(LEAST_LIMIT, limit * DECREASE)
+            limit = max(MIN_LIMIT, limit * DECREASE)
         elif own >= limit / 2:
             limit = min(MOST_LIMIT, limit + 1 / limit)
         self.plain[flight.replica] = Plain(limit, fast)
