--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -37,7 +37,7 @@
 # Plain services report no batch: start here and adapt (AIMD; Jacobson 1988).
 INITIAL_LIMIT = 8.0
 MIN_LIMIT = 1.0
-MOST_LIMIT = 1024.0
+MAX_LIMIT = 1024.0
 DECREASE = 0.9
 # A plain call that takes this many times the usual fast one says that calls
 # queue at the service; below it is noise.
@@ -196,7 +196,7 @@
         if result.seconds > SLOW * fast:
             limit = max(MIN_LIMIT, limit * DECREASE)
         elif own >= limit / 2:
-            limit = min(MOST_LIMIT, limit + 1 / limit)
+            limit = min(MAX_LIMIT, limit + 1 / limit)
         self.plain[flight.replica] = Plain(limit, fast)
 
 
@@ -205,7 +205,7 @@
 
     def capacity(self, replica: types.Replica, load: loads.Load) -> int:
         """More than anything here sends."""
-        return int(MOST_LIMIT)
+        return int(MAX_LIMIT)
 
     def room(
         self,
