--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -38,7 +38,7 @@
 INITIAL_LIMIT = 8.0
 MIN_LIMIT = 1.0
 MAX_LIMIT = 1024.0
-DECREASE = 0.9
+DECREASE_FACTOR = 0.9
 # A plain call that takes this many times the usual fast one says that calls
 # queue at the service; below it is noise.
 SLOW = 2.0
@@ -188,13 +188,13 @@
             return
         old = self.plain.get(flight.replica, Plain(INITIAL_LIMIT, math.inf))
         if result.finish != types.Finish.DONE:
-            limit = max(MIN_LIMIT, old.limit * DECREASE)
+            limit = max(MIN_LIMIT, old.limit * DECREASE_FACTOR)
             self.plain[flight.replica] = Plain(limit, old.fast)
             return
         fast = min(old.fast * (1 + DRIFT), result.seconds)
         limit = old.limit
         if result.seconds > SLOW * fast:
-            limit = max(MIN_LIMIT, limit * DECREASE)
+            limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
         elif own >= limit / 2:
             limit = min(MAX_LIMIT, limit + 1 / limit)
         self.plain[flight.replica] = Plain(limit, fast)
