--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -41,7 +41,7 @@
 DECREASE_FACTOR = 0.9
 # A plain call that takes this many times the usual fast one says that calls
 # queue at the service; below it is noise.
-SLOW = 2.0
+SLOW_FACTOR = 2.0
 # Each sample moves the fast time up by this share, so that a service that
 # has become slower for good is not held down for ever.
 DRIFT = 0.01
@@ -193,7 +193,7 @@
             return
         fast = min(old.fast * (1 + DRIFT), result.seconds)
         limit = old.limit
-        if result.seconds > SLOW * fast:
+        if result.seconds > SLOW_FACTOR * fast:
             limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
         elif own >= limit / 2:
             limit = min(MAX_LIMIT, limit + 1 / limit)
