--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -44,7 +44,7 @@
 SLOW_FACTOR = 2.0
 # Each sample moves the fast time up by this share, so that a service that
 # has become slower for good is not held down for ever.
-DRIFT = 0.01
+FAST_DRIFT_FRACTION = 0.01
 
 
 class Plain(NamedTuple):
@@ -191,7 +191,7 @@
             limit = max(MIN_LIMIT, old.limit * DECREASE_FACTOR)
             self.plain[flight.replica] = Plain(limit, old.fast)
             return
-        fast = min(old.fast * (1 + DRIFT), result.seconds)
+        fast = min(old.fast * (1 + FAST_DRIFT_FRACTION), result.seconds)
         limit = old.limit
         if result.seconds > SLOW_FACTOR * fast:
             limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
