--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -56,7 +56,7 @@
     """
 
     limit: float
-    fast: float
+    fast_seconds: float
 
 
 class Limits(Protocol):
@@ -189,9 +189,9 @@
         old = self.plain.get(flight.replica, Plain(INITIAL_LIMIT, math.inf))
         if result.finish != types.Finish.DONE:
             limit = max(MIN_LIMIT, old.limit * DECREASE_FACTOR)
-            self.plain[flight.replica] = Plain(limit, old.fast)
+            self.plain[flight.replica] = Plain(limit, old.fast_seconds)
             return
-        fast = min(old.fast * (1 + FAST_DRIFT_FRACTION), result.seconds)
+        fast = min(old.fast_seconds * (1 + FAST_DRIFT_FRACTION), result.seconds)
         limit = old.limit
         if result.seconds > SLOW_FACTOR * fast:
             limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
