--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -47,7 +47,7 @@
 FAST_DRIFT_FRACTION = 0.01
 
 
-class Plain(NamedTuple):
+class PlainLimit(NamedTuple):
     """What was learnt of a replica of a plain service.
 
     Attributes:
@@ -108,7 +108,7 @@
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.share = 1.0
-        self.plain: dict[str, Plain] = {}
+        self.plain: dict[str, PlainLimit] = {}
         self.draws: dict[str, tuple[float, float]] = {}
 
     def divide(self, share: float) -> None:
@@ -186,10 +186,12 @@
         """Learns from the end of a dispatch."""
         if result.finish == types.Finish.CANCELLED:
             return
-        old = self.plain.get(flight.replica, Plain(INITIAL_LIMIT, math.inf))
+        old = self.plain.get(
+            flight.replica, PlainLimit(INITIAL_LIMIT, math.inf)
+        )
         if result.finish != types.Finish.DONE:
             limit = max(MIN_LIMIT, old.limit * DECREASE_FACTOR)
-            self.plain[flight.replica] = Plain(limit, old.fast_seconds)
+            self.plain[flight.replica] = PlainLimit(limit, old.fast_seconds)
             return
         fast = min(old.fast_seconds * (1 + FAST_DRIFT_FRACTION), result.seconds)
         limit = old.limit
@@ -197,7 +199,7 @@
             limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
         elif own >= limit / 2:
             limit = min(MAX_LIMIT, limit + 1 / limit)
-        self.plain[flight.replica] = Plain(limit, fast)
+        self.plain[flight.replica] = PlainLimit(limit, fast)
 
 
 class NoLimits:
