--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -82,7 +82,7 @@
                 ones.
         """
 
-    def divide(self, share: float) -> None:
+    def set_node_share(self, share: float) -> None:
         """Sets this node's share of what all nodes send, above 0 to 1."""
 
     def observe(
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -235,7 +235,7 @@
         """
         self.parts.queue.remote(uses)
         share = demands_module.share(self.demand(now), demands)
-        self.parts.limits.divide(share)
+        self.parts.limits.set_node_share(share)
 
     def pump(self, now: float) -> list[types.Action]:
         """Sends as much waiting work as there is room for."""
