--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -111,7 +111,7 @@
         self.plain: dict[str, PlainLimit] = {}
         self.draws: dict[str, tuple[float, float]] = {}
 
-    def divide(self, share: float) -> None:
+    def set_node_share(self, share: float) -> None:
         """Sets this node's share of what all nodes send, above 0 to 1."""
         self.share = share
 
