--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -219,7 +219,7 @@
         """Always."""
         return True
 
-    def divide(self, share: float) -> None:
+    def set_node_share(self, share: float) -> None:
         """Changes nothing."""
 
     def observe(
