--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -65,7 +65,7 @@
     def capacity(self, replica: types.Replica, load: loads.Load) -> int:
         """Requests that it may hold at once, of the most urgent kind."""
 
-    def room(
+    def has_capacity(
         self,
         replica: types.Replica,
         load: loads.Load,
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -91,7 +91,7 @@
             weight = self.parts.outliers.weight(replica.name)
             if not self.parts.outliers.allowed(replica.name, load.own, now):
                 continue
-            room = self.parts.limits.room(
+            room = self.parts.limits.has_capacity(
                 replica, scaled(load, weight), turn.urgency, long
             )
             capacity = self.parts.limits.capacity(replica, load)
@@ -120,7 +120,7 @@
             return True
         for replica in self.replicas.values():
             load = self.parts.loads.view(replica, now)
-            if replica.open and self.parts.limits.room(
+            if replica.open and self.parts.limits.has_capacity(
                 replica, load, urgency=0, long=True
             ):
                 return True
