--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -127,7 +127,7 @@
             return 0
         return report.batch + SLOTS_AHEAD
 
-    def room(
+    def has_capacity(
         self,
         replica: types.Replica,
         load: loads.Load,
