--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -209,7 +209,7 @@
         """More than anything here sends."""
         return int(MAX_LIMIT)
 
-    def room(
+    def has_capacity(
         self,
         replica: types.Replica,
         load: loads.Load,
