--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -148,11 +148,13 @@
             return False
         if plain or not load.fresh:
             return True
-        if urgency > 0 and not self.prefill_room(replica, load):
+        if urgency > 0 and not self.has_prefill_capacity(replica, load):
             return False
         return self.mine(replica, load, capacity)
 
-    def prefill_room(self, replica: types.Replica, load: loads.Load) -> bool:
+    def has_prefill_capacity(
+        self, replica: types.Replica, load: loads.Load
+    ) -> bool:
         """Whether few enough prompts wait inside the engine.
 
         It has worked on them since the report was taken; of what it can
