--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -150,7 +150,7 @@
             return True
         if urgency > 0 and not self.has_prefill_capacity(replica, load):
             return False
-        return self.mine(replica, load, capacity)
+        return self.has_own_slot(replica, load, capacity)
 
     def has_prefill_capacity(
         self, replica: types.Replica, load: loads.Load
@@ -166,7 +166,7 @@
         unseen = load.prefill_tokens - report.prefill_tokens
         return unseen <= max(0.0, self.share * free) and free > 0
 
-    def mine(
+    def has_own_slot(
         self, replica: types.Replica, load: loads.Load, capacity: int
     ) -> bool:
         """Whether this node's share of the free slots has one left.
