--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -107,13 +107,13 @@
 
     def __init__(self, rng: random.Random):
         self.rng = rng
-        self.share = 1.0
+        self.node_share = 1.0
         self.plain: dict[str, PlainLimit] = {}
         self.draws: dict[str, tuple[float, float]] = {}
 
     def set_node_share(self, share: float) -> None:
         """Sets this node's share of what all nodes send, above 0 to 1."""
-        self.share = share
+        self.node_share = share
 
     def capacity(self, replica: types.Replica, load: loads.Load) -> int:
         """Requests that it may hold at once, of the most urgent kind."""
@@ -164,7 +164,7 @@
         seconds = PREFILL_AHEAD_SECONDS + load.age
         free = seconds * report.prefill_rate - report.prefill_tokens
         unseen = load.prefill_tokens - report.prefill_tokens
-        return unseen <= max(0.0, self.share * free) and free > 0
+        return unseen <= max(0.0, self.node_share * free) and free > 0
 
     def has_own_slot(
         self, replica: types.Replica, load: loads.Load, capacity: int
@@ -180,7 +180,9 @@
             draw = self.rng.random()
             self.draws[replica.name] = (report.taken, draw)
         free = max(0, capacity - report.running - report.waiting)
-        return load.unseen < math.floor(self.share * free + draw) + load.ended
+        return (
+            load.unseen < math.floor(self.node_share * free + draw) + load.ended
+        )
 
     def observe(
         self, flight: loads.InFlightRequest, result: types.Result, own: int
