--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -108,7 +108,7 @@
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.node_share = 1.0
-        self.plain: dict[str, PlainLimit] = {}
+        self.plain_limits: dict[str, PlainLimit] = {}
         self.draws: dict[str, tuple[float, float]] = {}
 
     def set_node_share(self, share: float) -> None:
@@ -119,7 +119,7 @@
         """Requests that it may hold at once, of the most urgent kind."""
         report = replica.report
         if report is None or report.batch <= 0:
-            learnt = self.plain.get(replica.name)
+            learnt = self.plain_limits.get(replica.name)
             return int(learnt.limit if learnt else INITIAL_LIMIT)
         if not load.fresh:
             return UNKNOWN_LIMIT
@@ -190,12 +190,14 @@
         """Learns from the end of a dispatch."""
         if result.finish == types.Finish.CANCELLED:
             return
-        old = self.plain.get(
+        old = self.plain_limits.get(
             flight.replica, PlainLimit(INITIAL_LIMIT, math.inf)
         )
         if result.finish != types.Finish.DONE:
             limit = max(MIN_LIMIT, old.limit * DECREASE_FACTOR)
-            self.plain[flight.replica] = PlainLimit(limit, old.fast_seconds)
+            self.plain_limits[flight.replica] = PlainLimit(
+                limit, old.fast_seconds
+            )
             return
         fast = min(old.fast_seconds * (1 + FAST_DRIFT_FRACTION), result.seconds)
         limit = old.limit
@@ -203,7 +205,7 @@
             limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
         elif own >= limit / 2:
             limit = min(MAX_LIMIT, limit + 1 / limit)
-        self.plain[flight.replica] = PlainLimit(limit, fast)
+        self.plain_limits[flight.replica] = PlainLimit(limit, fast)
 
 
 class NoLimits:
