--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -21,7 +21,7 @@
 
 # A replica takes work for its cached prefixes while its load is below this
 # multiple of the mean, and one more; 1.25 is the paper's figure.
-BOUND = 1.25
+LOAD_BOUND_FACTOR = 1.25
 # Load above which another data centre is looked at. The way there costs
 # half a millisecond; waiting for a slot costs seconds.
 NEAR_FULL = 0.75
@@ -107,7 +107,7 @@
             candidates, key=lambda one: -rank(request.prefix, one.replica.name)
         )
         for one in ranked:
-            bound = BOUND * mean + 1.0 / max(1, one.capacity)
+            bound = LOAD_BOUND_FACTOR * mean + 1.0 / max(1, one.capacity)
             if occupancy(one) <= bound and one.weight >= 1.0:
                 return one
         return None
