--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -24,7 +24,7 @@
 LOAD_BOUND_FACTOR = 1.25
 # Load above which another data centre is looked at. The way there costs
 # half a millisecond; waiting for a slot costs seconds.
-NEAR_FULL = 0.75
+NEAR_FULL_FRACTION = 0.75
 # Prompts below this gain less from a cached prefix than a second choice
 # gains: 64 tokens are 16 ms of prefill at 4,000 tokens a second.
 SHORT_PROMPT = 64
@@ -119,7 +119,7 @@
         for one in open_ones:
             if one.replica.data_centre != self.data_centre:
                 continue
-            if occupancy(one) < NEAR_FULL and one.weight >= 1.0:
+            if occupancy(one) < NEAR_FULL_FRACTION and one.weight >= 1.0:
                 near.append(one)
         return near or open_ones
 
