--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -27,7 +27,7 @@
 NEAR_FULL_FRACTION = 0.75
 # Prompts below this gain less from a cached prefix than a second choice
 # gains: 64 tokens are 16 ms of prefill at 4,000 tokens a second.
-SHORT_PROMPT = 64
+SHORT_PROMPT_TOKENS = 64
 
 
 class Candidate(NamedTuple):
@@ -85,7 +85,7 @@
         waited: float,
     ) -> Candidate | None:
         """Picks one that has room; None to wait for a better one."""
-        if request.prefix and request.prompt_tokens >= SHORT_PROMPT:
+        if request.prefix and request.prompt_tokens >= SHORT_PROMPT_TOKENS:
             home = self.home(request, candidates)
             if home is not None and home.room:
                 return home
