--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -45,7 +45,7 @@
     load: loads.Load
     capacity: int
     weight: float
-    room: bool = True
+    has_capacity: bool = True
 
 
 class Placement(Protocol):
@@ -87,7 +87,7 @@
         """Picks one that has room; None to wait for a better one."""
         if request.prefix and request.prompt_tokens >= SHORT_PROMPT_TOKENS:
             home = self.home(request, candidates)
-            if home is not None and home.room:
+            if home is not None and home.has_capacity:
                 return home
             if home is not None and waited < saved(request, home):
                 return None
@@ -114,7 +114,7 @@
 
     def near(self, candidates: list[Candidate]) -> list[Candidate]:
         """Those with room, the own data centre's while not nearly full."""
-        open_ones = [one for one in candidates if one.room]
+        open_ones = [one for one in candidates if one.has_capacity]
         near = []
         for one in open_ones:
             if one.replica.data_centre != self.data_centre:
@@ -167,7 +167,7 @@
     ) -> Candidate | None:
         """Picks the least loaded, by name where equal."""
         return min(
-            (one for one in candidates if one.room),
+            (one for one in candidates if one.has_capacity),
             key=lambda one: (one.load.occupied, one.replica.name),
             default=None,
         )
@@ -187,7 +187,7 @@
     ) -> Candidate | None:
         """Picks the next."""
         ordered = sorted(
-            (one for one in candidates if one.room),
+            (one for one in candidates if one.has_capacity),
             key=lambda one: one.replica.name,
         )
         if not ordered:
