--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -86,7 +86,7 @@
     ) -> Candidate | None:
         """Picks one that has room; None to wait for a better one."""
         if request.prefix and request.prompt_tokens >= SHORT_PROMPT_TOKENS:
-            home = self.home(request, candidates)
+            home = self.preferred(request, candidates)
             if home is not None and home.has_capacity:
                 return home
             if home is not None and waited < saved(request, home):
@@ -96,7 +96,7 @@
             pool = self.rng.sample(pool, 2)
         return min(pool, key=lambda one: cost(request, one), default=None)
 
-    def home(
+    def preferred(
         self, request: types.Request, candidates: list[Candidate]
     ) -> Candidate | None:
         """The first replica in the prefix's order within the bound."""
