--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -91,7 +91,7 @@
                 return home
             if home is not None and waited < saved(request, home):
                 return None
-        pool = self.near(candidates)
+        pool = self.prefer_local(candidates)
         if len(pool) > 2:
             pool = self.rng.sample(pool, 2)
         return min(pool, key=lambda one: cost(request, one), default=None)
@@ -112,7 +112,7 @@
                 return one
         return None
 
-    def near(self, candidates: list[Candidate]) -> list[Candidate]:
+    def prefer_local(self, candidates: list[Candidate]) -> list[Candidate]:
         """Those with room, the own data centre's while not nearly full."""
         open_ones = [one for one in candidates if one.has_capacity]
         near = []
