--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -89,7 +89,7 @@
             home = self.preferred(request, candidates)
             if home is not None and home.has_capacity:
                 return home
-            if home is not None and waited < saved(request, home):
+            if home is not None and waited < saved_seconds(request, home):
                 return None
         pool = self.prefer_local(candidates)
         if len(pool) > 2:
@@ -124,7 +124,7 @@
         return near or open_ones
 
 
-def saved(request: types.Request, home: Candidate) -> float:
+def saved_seconds(request: types.Request, home: Candidate) -> float:
     """Seconds of prefill that a cached prompt saves."""
     report = home.replica.report
     if report is None or report.prefill_rate <= 0:
