--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -104,7 +104,10 @@
             return None
         mean = sum(occupancy(one) for one in candidates) / len(candidates)
         ranked = sorted(
-            candidates, key=lambda one: -rank(request.prefix, one.replica.name)
+            candidates,
+            key=lambda one: (
+                -rendezvous_weight(request.prefix, one.replica.name)
+            ),
         )
         for one in ranked:
             bound = LOAD_BOUND_FACTOR * mean + 1.0 / max(1, one.capacity)
@@ -151,7 +154,7 @@
     return (prefill + (1.0 + crowd) * decode) / candidate.weight
 
 
-def rank(key: int, name: str) -> int:
+def rendezvous_weight(key: int, name: str) -> int:
     """The weight of a name for a key in rendezvous hashing."""
     return xxhash.xxh3_64_intdigest(f"{key}\n{name}".encode())
 
