--- a/features/support/variants.py
+++ b/features/support/variants.py
@@ -25,7 +25,7 @@
     if part == "loads":
         return {
             "loads": loads.ReportedLoads(),
-            "placement": placement.LeastReported(),
+            "placement": placement.LeastLoaded(),
         }
     rules = {
         "fairness": ("queue", fairness.FIFOQueue),
--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -159,7 +159,7 @@
     return xxhash.xxh3_64_intdigest(f"{key}\n{name}".encode())
 
 
-class LeastReported:
+class LeastLoaded:
     """A baseline: whatever looks least loaded."""
 
     def choose(
