--- a/features/support/variants.py
+++ b/features/support/variants.py
@@ -30,7 +30,7 @@
     rules = {
         "fairness": ("queue", fairness.FIFOQueue),
         "admission": ("admission", admission.EveryoneWaits),
-        "placement": ("placement", placement.InTurn),
+        "placement": ("placement", placement.RoundRobin),
         "limits": ("limits", limits.NoLimits),
         "outliers": ("outliers", outliers.NoOutliers),
     }
--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -176,7 +176,7 @@
         )
 
 
-class InTurn:
+class RoundRobin:
     """The plainest baseline: round robin."""
 
     def __init__(self):
