--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -15,7 +15,7 @@
 # estimates are averages. In trials at twice the capacity 0.0 ended nearly
 # half of the answers just too late, 0.2 a fifth, 0.35 a tenth; 0.5 refused
 # more callers of ordinary use (features/support/patterns.py).
-MARGIN = 0.35
+ESTIMATE_MARGIN = 0.35
 # From this urgency on the whole margin is added; none for urgency 0, of
 # which every answer that can still be in time is worth the work.
 WHOLE_MARGIN = 2
@@ -71,7 +71,7 @@
     def feasible(self, outlook: Outlook) -> bool:
         """Whether its answer can be whole before its deadline."""
         wait = outlook.ahead / max(1, outlook.slots)
-        margin = MARGIN * min(1.0, outlook.urgency / WHOLE_MARGIN)
+        margin = ESTIMATE_MARGIN * min(1.0, outlook.urgency / WHOLE_MARGIN)
         return (wait + outlook.work) * (1 + margin) <= outlook.left
 
     def full(self, queued: int) -> bool:
