--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -18,7 +18,7 @@
 ESTIMATE_MARGIN = 0.35
 # From this urgency on the whole margin is added; none for urgency 0, of
 # which every answer that can still be in time is worth the work.
-WHOLE_MARGIN = 2
+FULL_MARGIN_URGENCY = 2
 # Bounds of the advice when to come back, in seconds: below the first a
 # repeat meets the same queue, beyond the second a peak has passed.
 LEAST_RETRY = 1.0
@@ -41,7 +41,7 @@
     ahead: float
     work: float
     slots: int
-    urgency: int = WHOLE_MARGIN
+    urgency: int = FULL_MARGIN_URGENCY
 
 
 class Admission(Protocol):
@@ -71,7 +71,9 @@
     def feasible(self, outlook: Outlook) -> bool:
         """Whether its answer can be whole before its deadline."""
         wait = outlook.ahead / max(1, outlook.slots)
-        margin = ESTIMATE_MARGIN * min(1.0, outlook.urgency / WHOLE_MARGIN)
+        margin = ESTIMATE_MARGIN * min(
+            1.0, outlook.urgency / FULL_MARGIN_URGENCY
+        )
         return (wait + outlook.work) * (1 + margin) <= outlook.left
 
     def full(self, queued: int) -> bool:
