--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -21,7 +21,7 @@
 FULL_MARGIN_URGENCY = 2
 # Bounds of the advice when to come back, in seconds: below the first a
 # repeat meets the same queue, beyond the second a peak has passed.
-LEAST_RETRY = 1.0
+MIN_RETRY_SECONDS = 1.0
 MOST_RETRY = 30.0
 
 
@@ -82,7 +82,7 @@
 
     def retry_after(self, wait: float) -> float:
         """The wait, spread evenly over one to two times itself."""
-        base = min(MOST_RETRY, max(LEAST_RETRY, wait))
+        base = min(MOST_RETRY, max(MIN_RETRY_SECONDS, wait))
         return base * (1.0 + self.rng.random())
 
 
@@ -99,4 +99,4 @@
 
     def retry_after(self, wait: float) -> float:
         """A second."""
-        return LEAST_RETRY
+        return MIN_RETRY_SECONDS
