--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -22,7 +22,7 @@
 # Bounds of the advice when to come back, in seconds: below the first a
 # repeat meets the same queue, beyond the second a peak has passed.
 MIN_RETRY_SECONDS = 1.0
-MOST_RETRY = 30.0
+MAX_RETRY_SECONDS = 30.0
 
 
 class Outlook(NamedTuple):
@@ -82,7 +82,7 @@
 
     def retry_after(self, wait: float) -> float:
         """The wait, spread evenly over one to two times itself."""
-        base = min(MOST_RETRY, max(MIN_RETRY_SECONDS, wait))
+        base = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
         return base * (1.0 + self.rng.random())
 
 
