--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -37,7 +37,7 @@
         urgency: 0 is the most urgent.
     """
 
-    left: float
+    time_left: float
     ahead: float
     work: float
     slots: int
@@ -74,7 +74,7 @@
         margin = ESTIMATE_MARGIN * min(
             1.0, outlook.urgency / FULL_MARGIN_URGENCY
         )
-        return (wait + outlook.work) * (1 + margin) <= outlook.left
+        return (wait + outlook.work) * (1 + margin) <= outlook.time_left
 
     def full(self, queued: int) -> bool:
         """Whether too many wait."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -304,7 +304,7 @@
     ) -> admission.Outlook:
         """What a waiting request can expect."""
         return admission.Outlook(
-            left=item.request.deadline - now,
+            time_left=item.request.deadline - now,
             ahead=ahead,
             work=item.work,
             slots=self.slots(item),
