--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -38,7 +38,7 @@
     """
 
     time_left: float
-    ahead: float
+    queued_ahead: float
     work: float
     slots: int
     urgency: int = FULL_MARGIN_URGENCY
@@ -70,7 +70,7 @@
 
     def feasible(self, outlook: Outlook) -> bool:
         """Whether its answer can be whole before its deadline."""
-        wait = outlook.ahead / max(1, outlook.slots)
+        wait = outlook.queued_ahead / max(1, outlook.slots)
         margin = ESTIMATE_MARGIN * min(
             1.0, outlook.urgency / FULL_MARGIN_URGENCY
         )
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -305,7 +305,7 @@
         """What a waiting request can expect."""
         return admission.Outlook(
             time_left=item.request.deadline - now,
-            ahead=ahead,
+            queued_ahead=ahead,
             work=item.work,
             slots=self.slots(item),
             urgency=self.parts.queue.relative(item.request.urgency),
