--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -25,7 +25,7 @@
 MAX_RETRY_SECONDS = 30.0
 
 
-class Outlook(NamedTuple):
+class WaitEstimate(NamedTuple):
     """What a waiting request can expect.
 
     Attributes:
@@ -47,7 +47,7 @@
 class Admission(Protocol):
     """Whether a request that cannot be sent at once may wait."""
 
-    def feasible(self, outlook: Outlook) -> bool:
+    def feasible(self, outlook: WaitEstimate) -> bool:
         """Whether its answer can be whole before its deadline."""
 
     def full(self, queued: int) -> bool:
@@ -68,7 +68,7 @@
         self.most_waiting = most_waiting
         self.rng = rng
 
-    def feasible(self, outlook: Outlook) -> bool:
+    def feasible(self, outlook: WaitEstimate) -> bool:
         """Whether its answer can be whole before its deadline."""
         wait = outlook.queued_ahead / max(1, outlook.slots)
         margin = ESTIMATE_MARGIN * min(
@@ -89,7 +89,7 @@
 class EveryoneWaits:
     """The baseline: all may wait, and all come back after a second."""
 
-    def feasible(self, outlook: Outlook) -> bool:
+    def feasible(self, outlook: WaitEstimate) -> bool:
         """Always."""
         return True
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -301,9 +301,9 @@
 
     def outlook(
         self, item: queues.Waiting, ahead: float, now: float
-    ) -> admission.Outlook:
+    ) -> admission.WaitEstimate:
         """What a waiting request can expect."""
-        return admission.Outlook(
+        return admission.WaitEstimate(
             time_left=item.request.deadline - now,
             queued_ahead=ahead,
             work=item.work,
@@ -325,7 +325,7 @@
         """Whether it can no longer be in time though it were sent now."""
         left = item.request.deadline - now
         urgency = self.parts.queue.relative(item.request.urgency)
-        alone = admission.Outlook(left, 0.0, item.work, 1, urgency)
+        alone = admission.WaitEstimate(left, 0.0, item.work, 1, urgency)
         return not self.parts.admission.feasible(alone)
 
     def refuse(
