--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -47,7 +47,7 @@
 class Admission(Protocol):
     """Whether a request that cannot be sent at once may wait."""
 
-    def feasible(self, outlook: WaitEstimate) -> bool:
+    def is_feasible(self, outlook: WaitEstimate) -> bool:
         """Whether its answer can be whole before its deadline."""
 
     def full(self, queued: int) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -134,7 +134,7 @@
             now: The time.
         """
         outlook = self.outlook(item, ahead, now)._replace(urgency=urgency)
-        if self.parts.admission.feasible(outlook):
+        if self.parts.admission.is_feasible(outlook):
             return []
         wait = (ahead + item.work) / max(1, outlook.slots)
         return [self.refuse(item, TOO_LATE, wait)]
@@ -326,7 +326,7 @@
         left = item.request.deadline - now
         urgency = self.parts.queue.relative(item.request.urgency)
         alone = admission.WaitEstimate(left, 0.0, item.work, 1, urgency)
-        return not self.parts.admission.feasible(alone)
+        return not self.parts.admission.is_feasible(alone)
 
     def refuse(
         self, item: queues.Waiting, reason: str, wait: float
