--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -68,7 +68,7 @@
         self.most_waiting = most_waiting
         self.rng = rng
 
-    def feasible(self, outlook: WaitEstimate) -> bool:
+    def is_feasible(self, outlook: WaitEstimate) -> bool:
         """Whether its answer can be whole before its deadline."""
         wait = outlook.queued_ahead / max(1, outlook.slots)
         margin = ESTIMATE_MARGIN * min(
