--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -89,7 +89,7 @@
 class EveryoneWaits:
     """The baseline: all may wait, and all come back after a second."""
 
-    def feasible(self, outlook: WaitEstimate) -> bool:
+    def is_feasible(self, outlook: WaitEstimate) -> bool:
         """Always."""
         return True
 
