--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -50,7 +50,7 @@
     def is_feasible(self, outlook: WaitEstimate) -> bool:
         """Whether its answer can be whole before its deadline."""
 
-    def full(self, queued: int) -> bool:
+    def is_full(self, queued: int) -> bool:
         """Whether too many wait."""
 
     def retry_after(self, wait: float) -> float:
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -115,7 +115,7 @@
                 ahead = before
         urgency = self.parts.queue.relative(item.request.urgency)
         refused = self.judge(item, ahead, urgency, now)
-        if refused or not self.parts.admission.full(
+        if refused or not self.parts.admission.is_full(
             len(self.parts.queue.waiting)
         ):
             return refused
