--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -76,7 +76,7 @@
         )
         return (wait + outlook.work) * (1 + margin) <= outlook.time_left
 
-    def full(self, queued: int) -> bool:
+    def is_full(self, queued: int) -> bool:
         """Whether too many wait."""
         return queued > self.most_waiting
 
