--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -93,7 +93,7 @@
         """Always."""
         return True
 
-    def full(self, queued: int) -> bool:
+    def is_full(self, queued: int) -> bool:
         """Never."""
         return False
 
