--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -65,7 +65,7 @@
     """
 
     def __init__(self, most_waiting: int, rng: random.Random):
-        self.most_waiting = most_waiting
+        self.max_waiting = most_waiting
         self.rng = rng
 
     def is_feasible(self, outlook: WaitEstimate) -> bool:
@@ -78,7 +78,7 @@
 
     def is_full(self, queued: int) -> bool:
         """Whether too many wait."""
-        return queued > self.most_waiting
+        return queued > self.max_waiting
 
     def retry_after(self, wait: float) -> float:
         """The wait, spread evenly over one to two times itself."""
