--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -64,8 +64,8 @@
     True
     """
 
-    def __init__(self, most_waiting: int, rng: random.Random):
-        self.max_waiting = most_waiting
+    def __init__(self, max_waiting: int, rng: random.Random):
+        self.max_waiting = max_waiting
         self.rng = rng
 
     def is_feasible(self, outlook: WaitEstimate) -> bool:
