--- a/features/support/variants.py
+++ b/features/support/variants.py
@@ -29,7 +29,7 @@
         }
     rules = {
         "fairness": ("queue", fairness.FIFOQueue),
-        "admission": ("admission", admission.EveryoneWaits),
+        "admission": ("admission", admission.AdmitAll),
         "placement": ("placement", placement.RoundRobin),
         "limits": ("limits", limits.NoLimits),
         "outliers": ("outliers", outliers.NoOutliers),
--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -86,7 +86,7 @@
         return base * (1.0 + self.rng.random())
 
 
-class EveryoneWaits:
+class AdmitAll:
     """The baseline: all may wait, and all come back after a second."""
 
     def is_feasible(self, outlook: WaitEstimate) -> bool:
