--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -55,7 +55,7 @@
     def remove(self, request_id: str) -> Waiting | None:
         """Takes a request out; None if it is not there."""
 
-    def ordered(self, now: float, long_room: bool) -> Iterator[Turn]:
+    def ordered(self, now: float, allow_long: bool) -> Iterator[Turn]:
         """The next requests to try, best first.
 
         Args:
