--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -132,12 +132,12 @@
         self.accounts[request.account].items.remove(key)
         return item
 
-    def ordered(self, now: float, long_room: bool) -> Iterator[queues.Turn]:
+    def ordered(self, now: float, allow_long: bool) -> Iterator[queues.Turn]:
         """The next requests to try, best first."""
         self.measure(now)
         ranked = []
         for account in self.backlogged():
-            for index, item in enumerate(self.first(account, long_room)):
+            for index, item in enumerate(self.first(account, allow_long)):
                 rank = self.rank(account, item, now)
                 order = (rank, account.tag, account.name, index)
                 ranked.append((order, item))
