--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -302,7 +302,7 @@
 class FIFOQueue(FairQueue):
     """The baseline: strictly by time of entry, whoever sends."""
 
-    def ordered(self, now: float, long_room: bool) -> Iterator[queues.Turn]:
+    def ordered(self, now: float, allow_long: bool) -> Iterator[queues.Turn]:
         """In order of entry."""
         for item in sorted(self.waiting.values(), key=lambda one: one.since):
             yield queues.Turn(item, self.relative(item.request.urgency))
@@ -310,7 +310,7 @@
     def aheads(self, now: float) -> Iterator[tuple[queues.Waiting, float]]:
         """All that entered before goes before."""
         total = 0.0
-        for turn in self.ordered(now, long_room=True):
+        for turn in self.ordered(now, allow_long=True):
             yield turn.item, total
             total += turn.item.work
 
