--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -145,12 +145,12 @@
         for order, item in ranked:
             yield queues.Turn(item, self.relative(order[0]))
 
-    def first(self, account: Account, long_room: bool) -> list[queues.Waiting]:
+    def first(self, account: Account, allow_long: bool) -> list[queues.Waiting]:
         """The first requests of an account that may be sent."""
         found = []
         for key in account.items:
             item = self.waiting[key[2]]
-            if item.long and not long_room:
+            if item.long and not allow_long:
                 continue
             found.append(item)
             if len(found) == DEPTH:
