--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -110,7 +110,7 @@
         If too many wait then, one of them is given up for it.
         """
         ahead = 0.0
-        for other, before in self.parts.queue.aheads(now):
+        for other, before in self.parts.queue.queued_ahead(now):
             if other is item:
                 ahead = before
         urgency = self.parts.queue.relative(item.request.urgency)
@@ -153,7 +153,7 @@
             work = self.work(item.request, report, now)
             self.parts.queue.refresh(item._replace(work=work))
         actions = []
-        for item, ahead in list(self.parts.queue.aheads(now)):
+        for item, ahead in list(self.parts.queue.queued_ahead(now)):
             actions += self.judge(item, ahead, 0, now)
         return actions
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -70,7 +70,7 @@
     def settle(self, request: types.Request, charged: float, used: float):
         """Corrects a charge by what was used."""
 
-    def aheads(self, now: float) -> Iterator[tuple[Waiting, float]]:
+    def queued_ahead(self, now: float) -> Iterator[tuple[Waiting, float]]:
         """Yields each request with the seconds of work that go before it."""
 
     def relative(self, urgency: int) -> int:
