--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -224,7 +224,9 @@
         account.tag += (used - charged) / account.weight
         account.used = max(0.0, account.used + used - charged)
 
-    def aheads(self, now: float) -> Iterator[tuple[queues.Waiting, float]]:
+    def queued_ahead(
+        self, now: float
+    ) -> Iterator[tuple[queues.Waiting, float]]:
         """Yields each request with the seconds of work that go before it."""
         self.measure(now)
         ranked = []
