--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -309,7 +309,9 @@
         for item in sorted(self.waiting.values(), key=lambda one: one.since):
             yield queues.Turn(item, self.relative(item.request.urgency))
 
-    def aheads(self, now: float) -> Iterator[tuple[queues.Waiting, float]]:
+    def queued_ahead(
+        self, now: float
+    ) -> Iterator[tuple[queues.Waiting, float]]:
         """All that entered before goes before."""
         total = 0.0
         for turn in self.ordered(now, allow_long=True):
