--- a/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
@@ -55,7 +55,7 @@
         work = totals.setdefault(one.rank, collections.Counter())
         work[one.account] += one.item.work / one.weight
 
-    def aheads(self) -> Iterator[tuple[queues.Waiting, float]]:
+    def queued_ahead(self) -> Iterator[tuple[queues.Waiting, float]]:
         """Yields each request with the seconds of work before it."""
         own: dict[tuple[str, bool], float] = collections.defaultdict(float)
         for one in self.ranked:
--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -237,7 +237,7 @@
                 ranked.append(
                     backlog.Ranked(item, rank, account.name, account.weight)
                 )
-        yield from backlog.Backlog(ranked).aheads()
+        yield from backlog.Backlog(ranked).queued_ahead()
 
     def relative(self, urgency: int) -> int:
         """The urgency against the service's most urgent kind, which is 0.
