--- a/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
@@ -62,10 +62,10 @@
             before = own[one.account, False]
             if one.item.long:
                 before += own[one.account, True]
-            yield one.item, before + self.others(one, before)
+            yield one.item, before + self.others_ahead(one, before)
             own[one.account, one.item.long] += one.item.work
 
-    def others(self, one: Ranked, before: float) -> float:
+    def others_ahead(self, one: Ranked, before: float) -> float:
         """Seconds of other accounts' work that go before a request."""
         totals = self.all if one.item.long else self.short
         share = (before + one.item.work) / one.weight
