--- a/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
@@ -41,12 +41,12 @@
             ranked: All that wait, in order within each account.
         """
         self.ranked = ranked
-        self.short: dict[int, collections.Counter] = {}
+        self.short_work: dict[int, collections.Counter] = {}
         self.all: dict[int, collections.Counter] = {}
         for one in ranked:
             self.count(self.all, one)
             if not one.item.long:
-                self.count(self.short, one)
+                self.count(self.short_work, one)
 
     def count(
         self, totals: dict[int, collections.Counter], one: Ranked
@@ -67,7 +67,7 @@
 
     def others_ahead(self, one: Ranked, before: float) -> float:
         """Seconds of other accounts' work that go before a request."""
-        totals = self.all if one.item.long else self.short
+        totals = self.all if one.item.long else self.short_work
         share = (before + one.item.work) / one.weight
         total = 0.0
         for rank, work in totals.items():
