--- a/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
@@ -42,9 +42,9 @@
         """
         self.ranked = ranked
         self.short_work: dict[int, collections.Counter] = {}
-        self.all: dict[int, collections.Counter] = {}
+        self.total_work: dict[int, collections.Counter] = {}
         for one in ranked:
-            self.count(self.all, one)
+            self.count(self.total_work, one)
             if not one.item.long:
                 self.count(self.short_work, one)
 
@@ -67,7 +67,7 @@
 
     def others_ahead(self, one: Ranked, before: float) -> float:
         """Seconds of other accounts' work that go before a request."""
-        totals = self.all if one.item.long else self.short_work
+        totals = self.total_work if one.item.long else self.short_work
         share = (before + one.item.work) / one.weight
         total = 0.0
         for rank, work in totals.items():
