--- a/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
@@ -7,7 +7,7 @@
 from gypsumfold.decisions import queues
 
 
-class Ranked(NamedTuple):
+class RankedRequest(NamedTuple):
     """A waiting request as it will be served.
 
     Attributes:
@@ -34,7 +34,7 @@
     {'call-1': 0.0, 'call-2': 1.5}
     """
 
-    def __init__(self, ranked: list[Ranked]):
+    def __init__(self, ranked: list[RankedRequest]):
         """Sums up.
 
         Args:
@@ -49,7 +49,7 @@
                 self.count(self.short_work, one)
 
     def count(
-        self, totals: dict[int, collections.Counter], one: Ranked
+        self, totals: dict[int, collections.Counter], one: RankedRequest
     ) -> None:
         """Adds one request to the work of its account and rank."""
         work = totals.setdefault(one.rank, collections.Counter())
@@ -65,7 +65,7 @@
             yield one.item, before + self.others_ahead(one, before)
             own[one.account, one.item.long] += one.item.work
 
-    def others_ahead(self, one: Ranked, before: float) -> float:
+    def others_ahead(self, one: RankedRequest, before: float) -> float:
         """Seconds of other accounts' work that go before a request."""
         totals = self.total_work if one.item.long else self.short_work
         share = (before + one.item.work) / one.weight
--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -235,7 +235,9 @@
                 item = self.waiting[key[2]]
                 rank = self.rank(account, item, now)
                 ranked.append(
-                    backlog.Ranked(item, rank, account.name, account.weight)
+                    backlog.RankedRequest(
+                        item, rank, account.name, account.weight
+                    )
                 )
         yield from backlog.Backlog(ranked).queued_ahead()
 
