--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -113,7 +113,7 @@
         for other, before in self.parts.queue.queued_ahead(now):
             if other is item:
                 ahead = before
-        urgency = self.parts.queue.relative(item.request.urgency)
+        urgency = self.parts.queue.relative_urgency(item.request.urgency)
         refused = self.judge(item, ahead, urgency, now)
         if refused or not self.parts.admission.is_full(
             len(self.parts.queue.waiting)
@@ -308,7 +308,7 @@
             queued_ahead=ahead,
             work=item.work,
             slots=self.slots(item),
-            urgency=self.parts.queue.relative(item.request.urgency),
+            urgency=self.parts.queue.relative_urgency(item.request.urgency),
         )
 
     def slots(self, item: queues.Waiting) -> int:
@@ -324,7 +324,7 @@
     def late(self, item: queues.Waiting, now: float) -> bool:
         """Whether it can no longer be in time though it were sent now."""
         left = item.request.deadline - now
-        urgency = self.parts.queue.relative(item.request.urgency)
+        urgency = self.parts.queue.relative_urgency(item.request.urgency)
         alone = admission.WaitEstimate(left, 0.0, item.work, 1, urgency)
         return not self.parts.admission.is_feasible(alone)
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -73,7 +73,7 @@
     def queued_ahead(self, now: float) -> Iterator[tuple[Waiting, float]]:
         """Yields each request with the seconds of work that go before it."""
 
-    def relative(self, urgency: int) -> int:
+    def relative_urgency(self, urgency: int) -> int:
         """The urgency against the service's most urgent kind, which is 0."""
 
     def refresh(self, item: Waiting) -> None:
