--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -143,7 +143,7 @@
                 ranked.append((order, item))
         ranked.sort(key=lambda entry: entry[0])
         for order, item in ranked:
-            yield queues.Turn(item, self.relative(order[0]))
+            yield queues.Turn(item, self.relative_urgency(order[0]))
 
     def first(self, account: Account, allow_long: bool) -> list[queues.Waiting]:
         """The first requests of an account that may be sent."""
@@ -241,7 +241,7 @@
                 )
         yield from backlog.Backlog(ranked).queued_ahead()
 
-    def relative(self, urgency: int) -> int:
+    def relative_urgency(self, urgency: int) -> int:
         """The urgency against the service's most urgent kind, which is 0.
 
         Where all are of one urgency, none is urgent.
@@ -309,7 +309,7 @@
     def ordered(self, now: float, allow_long: bool) -> Iterator[queues.Turn]:
         """In order of entry."""
         for item in sorted(self.waiting.values(), key=lambda one: one.since):
-            yield queues.Turn(item, self.relative(item.request.urgency))
+            yield queues.Turn(item, self.relative_urgency(item.request.urgency))
 
     def queued_ahead(
         self, now: float
