--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -233,7 +233,7 @@
             uses: Their hottest accounts.
             now: The time.
         """
-        self.parts.queue.remote(uses)
+        self.parts.queue.set_remote_usage(uses)
         share = demands_module.share(self.demand(now), demands)
         self.parts.limits.set_node_share(share)
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -82,7 +82,7 @@
     def victim(self, now: float) -> Waiting | None:
         """The request to give up first where there are too many."""
 
-    def remote(self, uses: list[types.AccountUsage]) -> None:
+    def set_remote_usage(self, uses: list[types.AccountUsage]) -> None:
         """Replaces what accounts use through other nodes."""
 
     def declare(self, shares: dict[str, types.Share]) -> None:
