--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -271,7 +271,7 @@
                 worst, worst_key = item, key
         return worst
 
-    def remote(self, uses: list[types.AccountUsage]) -> None:
+    def set_remote_usage(self, uses: list[types.AccountUsage]) -> None:
         """Replaces what accounts use through other nodes."""
         for account in self.accounts.values():
             account.remote = 0.0
