--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -210,7 +210,7 @@
 
     def declare(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
-        self.parts.queue.declare(shares)
+        self.parts.queue.set_shares(shares)
 
     def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -85,7 +85,7 @@
     def set_remote_usage(self, uses: list[types.AccountUsage]) -> None:
         """Replaces what accounts use through other nodes."""
 
-    def declare(self, shares: dict[str, types.Share]) -> None:
+    def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
 
     def over_limit(self, name: str, now: float) -> bool:
