--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -278,7 +278,7 @@
         for use in uses:
             self.account(use.account).remote += use.tokens_per_second
 
-    def declare(self, shares: dict[str, types.Share]) -> None:
+    def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
         self.shares = shares
         for account in self.accounts.values():
