--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -95,7 +95,7 @@
         self.selection.lengths.add(item.work)
         prompt = max(1, request.prompt_tokens)
         self.meter.add(prompt, max(0.0, item.cost - prompt), now)
-        if self.parts.queue.over_limit(request.account, now):
+        if self.parts.queue.is_over_limit(request.account, now):
             retry_after = self.parts.admission.retry_after(fairness.MEMORY)
             return [types.Refuse(request, OVER_LIMIT, retry_after)]
         self.parts.queue.push(item, now)
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -88,7 +88,7 @@
     def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
 
-    def over_limit(self, name: str, now: float) -> bool:
+    def is_over_limit(self, name: str, now: float) -> bool:
         """Whether an account uses more than its declared limit."""
 
     def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
