--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -284,7 +284,7 @@
         for account in self.accounts.values():
             account.weight = shares.get(account.name, EQUAL).weight
 
-    def over_limit(self, name: str, now: float) -> bool:
+    def is_over_limit(self, name: str, now: float) -> bool:
         """Whether an account uses more than its declared limit."""
         limit = self.shares.get(name, EQUAL).tokens_per_second
         if limit <= 0 or name not in self.accounts:
