--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -214,7 +214,7 @@
 
     def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
-        return self.parts.queue.hottest(most, now)
+        return self.parts.queue.hottest_accounts(most, now)
 
     def demand(self, now: float) -> types.Demand:
         """What callers ask of this node, for the digest to its peers."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -91,5 +91,7 @@
     def is_over_limit(self, name: str, now: float) -> bool:
         """Whether an account uses more than its declared limit."""
 
-    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
+    def hottest_accounts(
+        self, most: int, now: float
+    ) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to peers."""
