--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -292,7 +292,9 @@
         account = self.accounts[name]
         return account.rate(now) + account.remote > limit
 
-    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
+    def hottest_accounts(
+        self, most: int, now: float
+    ) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to peers."""
         uses = []
         for account in self.accounts.values():
