--- a/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
@@ -17,7 +17,7 @@
         weight: Its account's weight.
     """
 
-    item: queues.Waiting
+    item: queues.WaitingRequest
     rank: int
     account: str
     weight: float
@@ -55,7 +55,7 @@
         work = totals.setdefault(one.rank, collections.Counter())
         work[one.account] += one.item.work / one.weight
 
-    def queued_ahead(self) -> Iterator[tuple[queues.Waiting, float]]:
+    def queued_ahead(self) -> Iterator[tuple[queues.WaitingRequest, float]]:
         """Yields each request with the seconds of work before it."""
         own: dict[tuple[str, bool], float] = collections.defaultdict(float)
         for one in self.ranked:
--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -92,7 +92,7 @@
     """
 
     def __init__(self):
-        self.waiting: dict[str, queues.Waiting] = {}
+        self.waiting: dict[str, queues.WaitingRequest] = {}
         self.accounts: dict[str, Account] = {}
         self.clock = 0.0
         self.share = math.inf
@@ -102,7 +102,7 @@
         self.next: list[tuple[int, str]] = []
         self.shares: dict[str, types.Share] = {}
 
-    def push(self, item: queues.Waiting, now: float) -> None:
+    def push(self, item: queues.WaitingRequest, now: float) -> None:
         """Takes a request in."""
         request = item.request
         account = self.account(request.account)
@@ -122,7 +122,7 @@
             account.weight = self.shares.get(name, EQUAL).weight
         return account
 
-    def remove(self, request_id: str) -> queues.Waiting | None:
+    def remove(self, request_id: str) -> queues.WaitingRequest | None:
         """Takes a request out; None if it is not there."""
         item = self.waiting.pop(request_id, None)
         if item is None:
@@ -145,7 +145,9 @@
         for order, item in ranked:
             yield queues.Turn(item, self.relative_urgency(order[0]))
 
-    def first(self, account: Account, allow_long: bool) -> list[queues.Waiting]:
+    def first(
+        self, account: Account, allow_long: bool
+    ) -> list[queues.WaitingRequest]:
         """The first requests of an account that may be sent."""
         found = []
         for key in account.items:
@@ -184,7 +186,9 @@
             weights += account.weight
         self.share = total / weights if weights else math.inf
 
-    def rank(self, account: Account, item: queues.Waiting, now: float) -> int:
+    def rank(
+        self, account: Account, item: queues.WaitingRequest, now: float
+    ) -> int:
         """The urgency that a request is served with."""
         urgency = item.request.urgency
         others = self.ordinary(account)
@@ -204,7 +208,7 @@
                 return urgency
         return 0
 
-    def charge(self, item: queues.Waiting, now: float) -> None:
+    def charge(self, item: queues.WaitingRequest, now: float) -> None:
         """Charges the account of a request that is sent now."""
         request = item.request
         account = self.account(request.account)
@@ -226,7 +230,7 @@
 
     def queued_ahead(
         self, now: float
-    ) -> Iterator[tuple[queues.Waiting, float]]:
+    ) -> Iterator[tuple[queues.WaitingRequest, float]]:
         """Yields each request with the seconds of work that go before it."""
         self.measure(now)
         ranked = []
@@ -250,11 +254,11 @@
             return ORDINARY
         return urgency - self.most_urgent
 
-    def refresh(self, item: queues.Waiting) -> None:
+    def refresh(self, item: queues.WaitingRequest) -> None:
         """Replaces the estimates of a request that waits."""
         self.waiting[item.request.id] = item
 
-    def victim(self, now: float) -> queues.Waiting | None:
+    def victim(self, now: float) -> queues.WaitingRequest | None:
         """The last request of the heaviest account in the lowest class."""
         self.measure(now)
         work: dict[str, float] = collections.Counter()
@@ -315,13 +319,13 @@
 
     def queued_ahead(
         self, now: float
-    ) -> Iterator[tuple[queues.Waiting, float]]:
+    ) -> Iterator[tuple[queues.WaitingRequest, float]]:
         """All that entered before goes before."""
         total = 0.0
         for turn in self.ordered(now, allow_long=True):
             yield turn.item, total
             total += turn.item.work
 
-    def victim(self, now: float) -> queues.Waiting | None:
+    def victim(self, now: float) -> queues.WaitingRequest | None:
         """The last one."""
         return max(self.waiting.values(), key=lambda item: item.since)
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -104,7 +104,9 @@
             return actions
         return actions + self.keep(item, now)
 
-    def keep(self, item: queues.Waiting, now: float) -> list[types.Action]:
+    def keep(
+        self, item: queues.WaitingRequest, now: float
+    ) -> list[types.Action]:
         """Refuses a request that must wait, if it cannot be in time.
 
         If too many wait then, one of them is given up for it.
@@ -123,7 +125,11 @@
         return [self.refuse(victim, TOO_MANY, self.drain())]
 
     def judge(
-        self, item: queues.Waiting, ahead: float, urgency: int, now: float
+        self,
+        item: queues.WaitingRequest,
+        ahead: float,
+        urgency: int,
+        now: float,
     ) -> list[types.Action]:
         """Refuses a waiting request that cannot be in time.
 
@@ -265,7 +271,7 @@
         return None
 
     def send(
-        self, item: queues.Waiting, replica: types.Replica, now: float
+        self, item: queues.WaitingRequest, replica: types.Replica, now: float
     ) -> types.Dispatch:
         """Takes a request out of the queue and sends it."""
         request = item.request
@@ -280,11 +286,11 @@
         prefill = self.selection.prefill(request, replica, now)
         return types.Dispatch(request, replica.name, prefill)
 
-    def item(self, request: types.Request, now: float) -> queues.Waiting:
+    def item(self, request: types.Request, now: float) -> queues.WaitingRequest:
         """The request with its estimates, as it waits."""
         report = self.selection.some_report(request)
         work = self.work(request, report, now)
-        return queues.Waiting(
+        return queues.WaitingRequest(
             request=request,
             position=self.parts.reentry.position(request, now),
             cost=self.parts.estimator.tokens(request),
@@ -300,7 +306,7 @@
         return self.parts.estimator.seconds(request, report, now)
 
     def outlook(
-        self, item: queues.Waiting, ahead: float, now: float
+        self, item: queues.WaitingRequest, ahead: float, now: float
     ) -> admission.WaitEstimate:
         """What a waiting request can expect."""
         return admission.WaitEstimate(
@@ -311,7 +317,7 @@
             urgency=self.parts.queue.relative_urgency(item.request.urgency),
         )
 
-    def slots(self, item: queues.Waiting) -> int:
+    def slots(self, item: queues.WaitingRequest) -> int:
         """Own dispatches whose ends make room for this request.
 
         A short one gains nothing from a long one that ends much later.
@@ -321,7 +327,7 @@
             count += item.long or not flight.long
         return count
 
-    def late(self, item: queues.Waiting, now: float) -> bool:
+    def late(self, item: queues.WaitingRequest, now: float) -> bool:
         """Whether it can no longer be in time though it were sent now."""
         left = item.request.deadline - now
         urgency = self.parts.queue.relative_urgency(item.request.urgency)
@@ -329,7 +335,7 @@
         return not self.parts.admission.is_feasible(alone)
 
     def refuse(
-        self, item: queues.Waiting, reason: str, wait: float
+        self, item: queues.WaitingRequest, reason: str, wait: float
     ) -> types.Refuse:
         """Takes a request out of the queue and gives it up."""
         self.parts.queue.remove(item.request.id)
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -10,7 +10,7 @@
 from gypsumfold.decisions import types
 
 
-class Waiting(NamedTuple):
+class WaitingRequest(NamedTuple):
     """A request in the queue.
 
     Attributes:
@@ -40,19 +40,19 @@
             account has used up its share.
     """
 
-    item: Waiting
+    item: WaitingRequest
     urgency: int
 
 
 class Queue(Protocol):
     """The waiting requests of one service on one node."""
 
-    waiting: dict[str, Waiting]
+    waiting: dict[str, WaitingRequest]
 
-    def push(self, item: Waiting, now: float) -> None:
+    def push(self, item: WaitingRequest, now: float) -> None:
         """Takes a request in."""
 
-    def remove(self, request_id: str) -> Waiting | None:
+    def remove(self, request_id: str) -> WaitingRequest | None:
         """Takes a request out; None if it is not there."""
 
     def ordered(self, now: float, allow_long: bool) -> Iterator[Turn]:
@@ -64,22 +64,24 @@
                 out, and hold up nothing behind them.
         """
 
-    def charge(self, item: Waiting, now: float) -> None:
+    def charge(self, item: WaitingRequest, now: float) -> None:
         """Charges the account of a request that is sent now."""
 
     def settle(self, request: types.Request, charged: float, used: float):
         """Corrects a charge by what was used."""
 
-    def queued_ahead(self, now: float) -> Iterator[tuple[Waiting, float]]:
+    def queued_ahead(
+        self, now: float
+    ) -> Iterator[tuple[WaitingRequest, float]]:
         """Yields each request with the seconds of work that go before it."""
 
     def relative_urgency(self, urgency: int) -> int:
         """The urgency against the service's most urgent kind, which is 0."""
 
-    def refresh(self, item: Waiting) -> None:
+    def refresh(self, item: WaitingRequest) -> None:
         """Replaces the estimates of a request that waits."""
 
-    def victim(self, now: float) -> Waiting | None:
+    def victim(self, now: float) -> WaitingRequest | None:
         """The request to give up first where there are too many."""
 
     def set_remote_usage(self, uses: list[types.AccountUsage]) -> None:
