--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -24,7 +24,7 @@
 
 # Seconds over which an account's use is remembered; a few answers long, and
 # several digest rounds of half a second.
-MEMORY = 10.0
+MEMORY_SECONDS = 10.0
 # Requests of one account that are tried before the next account's, where the
 # first cannot be placed (for example a long one).
 DEPTH = 4
@@ -64,7 +64,7 @@
 
     def decay(self, now: float) -> None:
         """Forgets what lies more than about `MEMORY` seconds back."""
-        factor = math.exp(-max(0.0, now - self.updated) / MEMORY)
+        factor = math.exp(-max(0.0, now - self.updated) / MEMORY_SECONDS)
         self.used *= factor
         self.urgent *= factor
         self.updated = now
@@ -72,7 +72,7 @@
     def rate(self, now: float) -> float:
         """Tokens a second through this node."""
         self.decay(now)
-        return self.used / MEMORY
+        return self.used / MEMORY_SECONDS
 
     def spread(self, now: float) -> float:
         """Use through all nodes over use through this one."""
@@ -197,7 +197,10 @@
         spread = account.spread(now)
         if account.urgent * spread <= URGENT_FLOOR * item.cost:
             return urgency
-        if account.urgent / MEMORY * spread <= self.share * account.weight:
+        if (
+            account.urgent / MEMORY_SECONDS * spread
+            <= self.share * account.weight
+        ):
             return urgency
         return others
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -96,7 +96,9 @@
         prompt = max(1, request.prompt_tokens)
         self.meter.add(prompt, max(0.0, item.cost - prompt), now)
         if self.parts.queue.is_over_limit(request.account, now):
-            retry_after = self.parts.admission.retry_after(fairness.MEMORY)
+            retry_after = self.parts.admission.retry_after(
+                fairness.MEMORY_SECONDS
+            )
             return [types.Refuse(request, OVER_LIMIT, retry_after)]
         self.parts.queue.push(item, now)
         actions = self.pump(now)
