--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -27,7 +27,7 @@
 MEMORY_SECONDS = 10.0
 # Requests of one account that are tried before the next account's, where the
 # first cannot be placed (for example a long one).
-DEPTH = 4
+MAX_TRIED_PER_ACCOUNT = 4
 # Urgent requests that are always honoured within `MEMORY`: a share cannot be
 # told from one or two of them.
 URGENT_FLOOR = 2
@@ -155,7 +155,7 @@
             if item.long and not allow_long:
                 continue
             found.append(item)
-            if len(found) == DEPTH:
+            if len(found) == MAX_TRIED_PER_ACCOUNT:
                 break
         return found
 
