--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -30,7 +30,7 @@
 MAX_TRIED_PER_ACCOUNT = 4
 # Urgent requests that are always honoured within `MEMORY`: a share cannot be
 # told from one or two of them.
-URGENT_FLOOR = 2
+MIN_URGENT_REQUESTS = 2
 # The urgency of a service's requests where all are alike.
 ORDINARY = 9
 # What an account without a declaration is entitled to.
@@ -195,7 +195,7 @@
         if urgency >= others:
             return urgency
         spread = account.spread(now)
-        if account.urgent * spread <= URGENT_FLOOR * item.cost:
+        if account.urgent * spread <= MIN_URGENT_REQUESTS * item.cost:
             return urgency
         if (
             account.urgent / MEMORY_SECONDS * spread
