--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -32,7 +32,7 @@
 # told from one or two of them.
 MIN_URGENT_REQUESTS = 2
 # The urgency of a service's requests where all are alike.
-ORDINARY = 9
+ORDINARY_URGENCY = 9
 # What an account without a declaration is entitled to.
 EQUAL = types.Share()
 # Seconds between two measurements of the fair share: short against `MEMORY`,
@@ -254,7 +254,7 @@
         Where all are of one urgency, none is urgent.
         """
         if self.least_urgent <= self.most_urgent:
-            return ORDINARY
+            return ORDINARY_URGENCY
         return urgency - self.most_urgent
 
     def refresh(self, item: queues.WaitingRequest) -> None:
