--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -34,7 +34,7 @@
 # The urgency of a service's requests where all are alike.
 ORDINARY_URGENCY = 9
 # What an account without a declaration is entitled to.
-EQUAL = types.Share()
+DEFAULT_SHARE = types.Share()
 # Seconds between two measurements of the fair share: short against `MEMORY`,
 # and 3,800 accounts are then looked at twice a second, not per request.
 MEASURE = 0.5
@@ -119,7 +119,7 @@
         account = self.accounts.get(name)
         if account is None:
             account = self.accounts[name] = Account(name)
-            account.weight = self.shares.get(name, EQUAL).weight
+            account.weight = self.shares.get(name, DEFAULT_SHARE).weight
         return account
 
     def remove(self, request_id: str) -> queues.WaitingRequest | None:
@@ -289,11 +289,11 @@
         """Replaces what accounts are entitled to."""
         self.shares = shares
         for account in self.accounts.values():
-            account.weight = shares.get(account.name, EQUAL).weight
+            account.weight = shares.get(account.name, DEFAULT_SHARE).weight
 
     def is_over_limit(self, name: str, now: float) -> bool:
         """Whether an account uses more than its declared limit."""
-        limit = self.shares.get(name, EQUAL).tokens_per_second
+        limit = self.shares.get(name, DEFAULT_SHARE).tokens_per_second
         if limit <= 0 or name not in self.accounts:
             return False
         account = self.accounts[name]
