--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -37,7 +37,7 @@
 DEFAULT_SHARE = types.Share()
 # Seconds between two measurements of the fair share: short against `MEMORY`,
 # and 3,800 accounts are then looked at twice a second, not per request.
-MEASURE = 0.5
+MEASURE_INTERVAL_SECONDS = 0.5
 # Tokens a second below which an account without waiting work is forgotten.
 IDLE = 1e-3
 # Most that the use through other nodes may multiply the cost here: 16 nodes
@@ -173,7 +173,7 @@
         self.next = sorted(
             (account.items[0][0], account.name) for account in self.backlogged()
         )[-2:]
-        if 0 <= now - self.measured < MEASURE:
+        if 0 <= now - self.measured < MEASURE_INTERVAL_SECONDS:
             return
         self.measured = now
         total = weights = 0.0
