--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -39,7 +39,7 @@
 # and 3,800 accounts are then looked at twice a second, not per request.
 MEASURE_INTERVAL_SECONDS = 0.5
 # Tokens a second below which an account without waiting work is forgotten.
-IDLE = 1e-3
+IDLE_TOKENS_PER_SECOND = 1e-3
 # Most that the use through other nodes may multiply the cost here: 16 nodes
 # with equal parts of one account's traffic.
 MOST_REMOTE = 16.0
@@ -179,7 +179,7 @@
         total = weights = 0.0
         for name, account in list(self.accounts.items()):
             rate = account.rate(now) + account.remote
-            if rate < IDLE and not account.items:
+            if rate < IDLE_TOKENS_PER_SECOND and not account.items:
                 del self.accounts[name]
                 continue
             total += rate
@@ -306,7 +306,7 @@
         uses = []
         for account in self.accounts.values():
             rate = account.rate(now)
-            if rate >= IDLE:
+            if rate >= IDLE_TOKENS_PER_SECOND:
                 uses.append(types.AccountUsage(account.name, rate))
         uses.sort(key=lambda use: -use.tokens_per_second)
         return uses[:most]
