--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -42,7 +42,7 @@
 IDLE_TOKENS_PER_SECOND = 1e-3
 # Most that the use through other nodes may multiply the cost here: 16 nodes
 # with equal parts of one account's traffic.
-MOST_REMOTE = 16.0
+MAX_REMOTE_FACTOR = 16.0
 
 
 class Account:
@@ -79,7 +79,7 @@
         local = self.rate(now)
         if self.remote <= 0 or local <= 0:
             return 1.0
-        return min(MOST_REMOTE, 1.0 + self.remote / local)
+        return min(MAX_REMOTE_FACTOR, 1.0 + self.remote / local)
 
 
 class FairQueue:
