--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -74,7 +74,7 @@
         self.decay(now)
         return self.used / MEMORY_SECONDS
 
-    def spread(self, now: float) -> float:
+    def remote_factor(self, now: float) -> float:
         """Use through all nodes over use through this one."""
         local = self.rate(now)
         if self.remote <= 0 or local <= 0:
@@ -194,7 +194,7 @@
         others = self.ordinary(account)
         if urgency >= others:
             return urgency
-        spread = account.spread(now)
+        spread = account.remote_factor(now)
         if account.urgent * spread <= MIN_URGENT_REQUESTS * item.cost:
             return urgency
         if (
@@ -219,7 +219,7 @@
         cost = 0.0 if request.recovered else item.cost
         account.decay(now)
         account.used += cost
-        account.tag += cost * account.spread(now) / account.weight
+        account.tag += cost * account.remote_factor(now) / account.weight
         if request.urgency < self.least_urgent:
             account.urgent += cost
 
@@ -272,7 +272,9 @@
         for item in self.waiting.values():
             account = self.accounts[item.request.account]
             rank = self.rank(account, item, now)
-            load = work[account.name] * account.spread(now) / account.weight
+            load = (
+                work[account.name] * account.remote_factor(now) / account.weight
+            )
             key = (rank, load, item.position, item.request.id)
             if worst_key is None or key > worst_key:
                 worst, worst_key = item, key
