--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -58,7 +58,7 @@
         self.tag = 0.0
         self.items: list[tuple[int, float, str]] = []
         self.used = 0.0
-        self.urgent = 0.0
+        self.used_urgent = 0.0
         self.updated = 0.0
         self.remote = 0.0
 
@@ -66,7 +66,7 @@
         """Forgets what lies more than about `MEMORY` seconds back."""
         factor = math.exp(-max(0.0, now - self.updated) / MEMORY_SECONDS)
         self.used *= factor
-        self.urgent *= factor
+        self.used_urgent *= factor
         self.updated = now
 
     def rate(self, now: float) -> float:
@@ -195,10 +195,10 @@
         if urgency >= others:
             return urgency
         spread = account.remote_factor(now)
-        if account.urgent * spread <= MIN_URGENT_REQUESTS * item.cost:
+        if account.used_urgent * spread <= MIN_URGENT_REQUESTS * item.cost:
             return urgency
         if (
-            account.urgent / MEMORY_SECONDS * spread
+            account.used_urgent / MEMORY_SECONDS * spread
             <= self.share * account.weight
         ):
             return urgency
@@ -221,7 +221,7 @@
         account.used += cost
         account.tag += cost * account.remote_factor(now) / account.weight
         if request.urgency < self.least_urgent:
-            account.urgent += cost
+            account.used_urgent += cost
 
     def settle(self, request: types.Request, charged: float, used: float):
         """Corrects a charge by what was used."""
