--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -60,7 +60,7 @@
         self.used = 0.0
         self.used_urgent = 0.0
         self.updated = 0.0
-        self.remote = 0.0
+        self.remote_rate = 0.0
 
     def decay(self, now: float) -> None:
         """Forgets what lies more than about `MEMORY` seconds back."""
@@ -77,9 +77,9 @@
     def remote_factor(self, now: float) -> float:
         """Use through all nodes over use through this one."""
         local = self.rate(now)
-        if self.remote <= 0 or local <= 0:
+        if self.remote_rate <= 0 or local <= 0:
             return 1.0
-        return min(MAX_REMOTE_FACTOR, 1.0 + self.remote / local)
+        return min(MAX_REMOTE_FACTOR, 1.0 + self.remote_rate / local)
 
 
 class FairQueue:
@@ -178,7 +178,7 @@
         self.measured = now
         total = weights = 0.0
         for name, account in list(self.accounts.items()):
-            rate = account.rate(now) + account.remote
+            rate = account.rate(now) + account.remote_rate
             if rate < IDLE_TOKENS_PER_SECOND and not account.items:
                 del self.accounts[name]
                 continue
@@ -283,9 +283,9 @@
     def set_remote_usage(self, uses: list[types.AccountUsage]) -> None:
         """Replaces what accounts use through other nodes."""
         for account in self.accounts.values():
-            account.remote = 0.0
+            account.remote_rate = 0.0
         for use in uses:
-            self.account(use.account).remote += use.tokens_per_second
+            self.account(use.account).remote_rate += use.tokens_per_second
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
@@ -299,7 +299,7 @@
         if limit <= 0 or name not in self.accounts:
             return False
         account = self.accounts[name]
-        return account.rate(now) + account.remote > limit
+        return account.rate(now) + account.remote_rate > limit
 
     def hottest_accounts(
         self, most: int, now: float
