--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -137,7 +137,7 @@
         self.measure(now)
         ranked = []
         for account in self.backlogged():
-            for index, item in enumerate(self.first(account, allow_long)):
+            for index, item in enumerate(self.sendable(account, allow_long)):
                 rank = self.rank(account, item, now)
                 order = (rank, account.tag, account.name, index)
                 ranked.append((order, item))
@@ -145,7 +145,7 @@
         for order, item in ranked:
             yield queues.Turn(item, self.relative_urgency(order[0]))
 
-    def first(
+    def sendable(
         self, account: Account, allow_long: bool
     ) -> list[queues.WaitingRequest]:
         """The first requests of an account that may be sent."""
