--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -94,7 +94,7 @@
     def __init__(self):
         self.waiting: dict[str, queues.WaitingRequest] = {}
         self.accounts: dict[str, Account] = {}
-        self.clock = 0.0
+        self.virtual_time = 0.0
         self.share = math.inf
         self.measured = -math.inf
         self.least_urgent = 0
@@ -107,7 +107,7 @@
         request = item.request
         account = self.account(request.account)
         if not account.items:
-            account.tag = max(account.tag, self.clock)
+            account.tag = max(account.tag, self.virtual_time)
         key = (request.urgency, item.position, request.id)
         bisect.insort(account.items, key)
         self.waiting[request.id] = item
@@ -215,7 +215,7 @@
         """Charges the account of a request that is sent now."""
         request = item.request
         account = self.account(request.account)
-        self.clock = max(self.clock, account.tag)
+        self.virtual_time = max(self.virtual_time, account.tag)
         cost = 0.0 if request.recovered else item.cost
         account.decay(now)
         account.used += cost
