--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -95,7 +95,7 @@
         self.waiting: dict[str, queues.WaitingRequest] = {}
         self.accounts: dict[str, Account] = {}
         self.virtual_time = 0.0
-        self.share = math.inf
+        self.fair_share = math.inf
         self.measured = -math.inf
         self.least_urgent = 0
         self.most_urgent = 9
@@ -184,7 +184,7 @@
                 continue
             total += rate
             weights += account.weight
-        self.share = total / weights if weights else math.inf
+        self.fair_share = total / weights if weights else math.inf
 
     def rank(
         self, account: Account, item: queues.WaitingRequest, now: float
@@ -199,7 +199,7 @@
             return urgency
         if (
             account.used_urgent / MEMORY_SECONDS * spread
-            <= self.share * account.weight
+            <= self.fair_share * account.weight
         ):
             return urgency
         return others
