--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -96,7 +96,7 @@
         self.accounts: dict[str, Account] = {}
         self.virtual_time = 0.0
         self.fair_share = math.inf
-        self.measured = -math.inf
+        self.last_measured = -math.inf
         self.least_urgent = 0
         self.most_urgent = 9
         self.next: list[tuple[int, str]] = []
@@ -173,9 +173,9 @@
         self.next = sorted(
             (account.items[0][0], account.name) for account in self.backlogged()
         )[-2:]
-        if 0 <= now - self.measured < MEASURE_INTERVAL_SECONDS:
+        if 0 <= now - self.last_measured < MEASURE_INTERVAL_SECONDS:
             return
-        self.measured = now
+        self.last_measured = now
         total = weights = 0.0
         for name, account in list(self.accounts.items()):
             rate = account.rate(now) + account.remote_rate
