--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -134,7 +134,7 @@
 
     def ordered(self, now: float, allow_long: bool) -> Iterator[queues.Turn]:
         """The next requests to try, best first."""
-        self.measure(now)
+        self.update_fair_share(now)
         ranked = []
         for account in self.backlogged():
             for index, item in enumerate(self.sendable(account, allow_long)):
@@ -164,7 +164,7 @@
         names = {item.request.account for item in self.waiting.values()}
         return [self.accounts[name] for name in sorted(names)]
 
-    def measure(self, now: float) -> None:
+    def update_fair_share(self, now: float) -> None:
         """Works out what `rank` compares an account with.
 
         These are the fair share of tokens a second per unit of weight, and
@@ -235,7 +235,7 @@
         self, now: float
     ) -> Iterator[tuple[queues.WaitingRequest, float]]:
         """Yields each request with the seconds of work that go before it."""
-        self.measure(now)
+        self.update_fair_share(now)
         ranked = []
         for account in self.backlogged():
             for key in account.items:
@@ -263,7 +263,7 @@
 
     def victim(self, now: float) -> queues.WaitingRequest | None:
         """The last request of the heaviest account in the lowest class."""
-        self.measure(now)
+        self.update_fair_share(now)
         work: dict[str, float] = collections.Counter()
         for item in self.waiting.values():
             work[item.request.account] += item.cost
