--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -99,7 +99,7 @@
         self.last_measured = -math.inf
         self.least_urgent = 0
         self.most_urgent = 9
-        self.next: list[tuple[int, str]] = []
+        self.least_urgent_next: list[tuple[int, str]] = []
         self.shares: dict[str, types.Share] = {}
 
     def push(self, item: queues.WaitingRequest, now: float) -> None:
@@ -170,7 +170,7 @@
         These are the fair share of tokens a second per unit of weight, and
         the two least urgent requests that are next in their accounts.
         """
-        self.next = sorted(
+        self.least_urgent_next = sorted(
             (account.items[0][0], account.name) for account in self.backlogged()
         )[-2:]
         if 0 <= now - self.last_measured < MEASURE_INTERVAL_SECONDS:
@@ -206,7 +206,7 @@
 
     def ordinary(self, but: Account) -> int:
         """The least urgent request that is next in another account."""
-        for urgency, name in reversed(self.next):
+        for urgency, name in reversed(self.least_urgent_next):
             if name != but.name:
                 return urgency
         return 0
