--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -138,7 +138,7 @@
         ranked = []
         for account in self.backlogged():
             for index, item in enumerate(self.sendable(account, allow_long)):
-                rank = self.rank(account, item, now)
+                rank = self.effective_urgency(account, item, now)
                 order = (rank, account.tag, account.name, index)
                 ranked.append((order, item))
         ranked.sort(key=lambda entry: entry[0])
@@ -186,7 +186,7 @@
             weights += account.weight
         self.fair_share = total / weights if weights else math.inf
 
-    def rank(
+    def effective_urgency(
         self, account: Account, item: queues.WaitingRequest, now: float
     ) -> int:
         """The urgency that a request is served with."""
@@ -240,7 +240,7 @@
         for account in self.backlogged():
             for key in account.items:
                 item = self.waiting[key[2]]
-                rank = self.rank(account, item, now)
+                rank = self.effective_urgency(account, item, now)
                 ranked.append(
                     backlog.RankedRequest(
                         item, rank, account.name, account.weight
@@ -271,7 +271,7 @@
         worst_key = None
         for item in self.waiting.values():
             account = self.accounts[item.request.account]
-            rank = self.rank(account, item, now)
+            rank = self.effective_urgency(account, item, now)
             load = (
                 work[account.name] * account.remote_factor(now) / account.weight
             )
