--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -191,7 +191,7 @@
     ) -> int:
         """The urgency that a request is served with."""
         urgency = item.request.urgency
-        others = self.ordinary(account)
+        others = self.least_urgent_other(account)
         if urgency >= others:
             return urgency
         spread = account.remote_factor(now)
@@ -204,7 +204,7 @@
             return urgency
         return others
 
-    def ordinary(self, but: Account) -> int:
+    def least_urgent_other(self, but: Account) -> int:
         """The least urgent request that is next in another account."""
         for urgency, name in reversed(self.least_urgent_next):
             if name != but.name:
