--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -136,7 +136,7 @@
         """The next requests to try, best first."""
         self.update_fair_share(now)
         ranked = []
-        for account in self.backlogged():
+        for account in self.backlogged_accounts():
             for index, item in enumerate(self.sendable(account, allow_long)):
                 rank = self.effective_urgency(account, item, now)
                 order = (rank, account.tag, account.name, index)
@@ -159,7 +159,7 @@
                 break
         return found
 
-    def backlogged(self) -> list[Account]:
+    def backlogged_accounts(self) -> list[Account]:
         """The accounts with a request that waits."""
         names = {item.request.account for item in self.waiting.values()}
         return [self.accounts[name] for name in sorted(names)]
@@ -171,7 +171,8 @@
         the two least urgent requests that are next in their accounts.
         """
         self.least_urgent_next = sorted(
-            (account.items[0][0], account.name) for account in self.backlogged()
+            (account.items[0][0], account.name)
+            for account in self.backlogged_accounts()
         )[-2:]
         if 0 <= now - self.last_measured < MEASURE_INTERVAL_SECONDS:
             return
@@ -237,7 +238,7 @@
         """Yields each request with the seconds of work that go before it."""
         self.update_fair_share(now)
         ranked = []
-        for account in self.backlogged():
+        for account in self.backlogged_accounts():
             for key in account.items:
                 item = self.waiting[key[2]]
                 rank = self.effective_urgency(account, item, now)
