--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -15,7 +15,7 @@
 
 # Times the geometric mean length, which a few long ones move little, above
 # which a request is long.
-LONG = 4.0
+LONG_FACTOR = 4.0
 # Seconds within which a short request must have come for long ones to be
 # held back.
 SHORT_SEEN = 5.0
@@ -60,7 +60,7 @@
         """Whether this is much longer than the mean."""
         if self.mean is None or work <= 0:
             return False
-        return math.log(work) > self.mean + math.log(LONG)
+        return math.log(work) > self.mean + math.log(LONG_FACTOR)
 
     def short_came(self, now: float) -> bool:
         """Whether short requests come at the moment."""
