--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -18,7 +18,7 @@
 LONG_FACTOR = 4.0
 # Seconds within which a short request must have come for long ones to be
 # held back.
-SHORT_SEEN = 5.0
+SHORT_SEEN_SECONDS = 5.0
 
 
 class Parts(NamedTuple):
@@ -64,7 +64,7 @@
 
     def short_came(self, now: float) -> bool:
         """Whether short requests come at the moment."""
-        return now - self.short_seen < SHORT_SEEN
+        return now - self.short_seen < SHORT_SEEN_SECONDS
 
 
 class Selection:
