--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -44,7 +44,7 @@
     """
 
     def __init__(self):
-        self.mean: float | None = None
+        self.log_mean: float | None = None
         self.short_seen = -math.inf
 
     def add(self, work: float) -> None:
@@ -52,15 +52,15 @@
         if work <= 0:
             return
         length = math.log(work)
-        if self.mean is None:
-            self.mean = length
-        self.mean = estimates.smooth(self.mean, length)
+        if self.log_mean is None:
+            self.log_mean = length
+        self.log_mean = estimates.smooth(self.log_mean, length)
 
     def long(self, work: float) -> bool:
         """Whether this is much longer than the mean."""
-        if self.mean is None or work <= 0:
+        if self.log_mean is None or work <= 0:
             return False
-        return math.log(work) > self.mean + math.log(LONG_FACTOR)
+        return math.log(work) > self.log_mean + math.log(LONG_FACTOR)
 
     def short_came(self, now: float) -> bool:
         """Whether short requests come at the moment."""
