--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -297,7 +297,7 @@
             position=self.parts.reentry.position(request, now),
             cost=self.parts.estimator.tokens(request),
             work=work,
-            long=self.selection.lengths.long(work),
+            long=self.selection.lengths.is_long(work),
             since=now,
         )
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -56,7 +56,7 @@
             self.log_mean = length
         self.log_mean = estimates.smooth(self.log_mean, length)
 
-    def long(self, work: float) -> bool:
+    def is_long(self, work: float) -> bool:
         """Whether this is much longer than the mean."""
         if self.log_mean is None or work <= 0:
             return False
