--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -62,7 +62,7 @@
             return False
         return math.log(work) > self.log_mean + math.log(LONG_FACTOR)
 
-    def short_came(self, now: float) -> bool:
+    def has_recent_short(self, now: float) -> bool:
         """Whether short requests come at the moment."""
         return now - self.short_seen < SHORT_SEEN_SECONDS
 
@@ -106,7 +106,7 @@
         A node may always have one of them running, however busy the short
         ones keep the replicas.
         """
-        if not self.lengths.short_came(now):
+        if not self.lengths.has_recent_short(now):
             return False
         loads_now = self.parts.loads
         return any(
