--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -91,7 +91,7 @@
         """Takes a new request in and returns what to do now."""
         item = self.item(request, now)
         if not item.long:
-            self.selection.lengths.short_seen = now
+            self.selection.lengths.last_short = now
         self.selection.lengths.add(item.work)
         prompt = max(1, request.prompt_tokens)
         self.meter.add(prompt, max(0.0, item.cost - prompt), now)
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -45,7 +45,7 @@
 
     def __init__(self):
         self.log_mean: float | None = None
-        self.short_seen = -math.inf
+        self.last_short = -math.inf
 
     def add(self, work: float) -> None:
         """Learns from a request that takes so many seconds."""
@@ -64,7 +64,7 @@
 
     def has_recent_short(self, now: float) -> bool:
         """Whether short requests come at the moment."""
-        return now - self.short_seen < SHORT_SEEN_SECONDS
+        return now - self.last_short < SHORT_SEEN_SECONDS
 
 
 class Selection:
