--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -34,7 +34,7 @@
     estimator: estimates.Estimator
 
 
-class Lengths:
+class RequestLengths:
     """Tells the long requests of a service from the short ones.
 
     >>> lengths = Lengths()
@@ -77,7 +77,7 @@
     def __init__(self, parts: Parts):
         self.parts = parts
         self.replicas: dict[str, types.Replica] = {}
-        self.lengths = Lengths()
+        self.lengths = RequestLengths()
 
     def candidates(
         self, turn: queues.Turn, now: float
