--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -75,7 +75,7 @@
     """
 
     def __init__(self, parts: Parts):
-        self.parts = parts
+        self.components = parts
         self.replicas: dict[str, types.Replica] = {}
         self.lengths = RequestLengths()
 
@@ -87,14 +87,16 @@
         long = turn.item.long and self.held_back(now)
         found = []
         for replica in self.fitting(request):
-            load = self.parts.loads.view(replica, now)
-            weight = self.parts.outliers.weight(replica.name)
-            if not self.parts.outliers.allowed(replica.name, load.own, now):
+            load = self.components.loads.view(replica, now)
+            weight = self.components.outliers.weight(replica.name)
+            if not self.components.outliers.allowed(
+                replica.name, load.own, now
+            ):
                 continue
-            room = self.parts.limits.has_capacity(
+            room = self.components.limits.has_capacity(
                 replica, scaled(load, weight), turn.urgency, long
             )
-            capacity = self.parts.limits.capacity(replica, load)
+            capacity = self.components.limits.capacity(replica, load)
             found.append(
                 placement.Candidate(replica, load, capacity, weight, room)
             )
@@ -108,7 +110,7 @@
         """
         if not self.lengths.has_recent_short(now):
             return False
-        loads_now = self.parts.loads
+        loads_now = self.components.loads
         return any(
             loads_now.view(replica, now).long
             for replica in self.replicas.values()
@@ -119,8 +121,8 @@
         if not self.held_back(now):
             return True
         for replica in self.replicas.values():
-            load = self.parts.loads.view(replica, now)
-            if replica.open and self.parts.limits.has_capacity(
+            load = self.components.loads.view(replica, now)
+            if replica.open and self.components.limits.has_capacity(
                 replica, load, urgency=0, long=True
             ):
                 return True
@@ -167,14 +169,14 @@
             if backlog < least:
                 best, least = replica.name, backlog
         if best:
-            self.parts.loads.prefill_sent(best, request.prompt_tokens, now)
+            self.components.loads.prefill_sent(best, request.prompt_tokens, now)
         return best
 
     def backlog(self, replica: types.Replica, now: float) -> float:
         """Seconds of prompts that wait at an engine; infinite if unknown."""
         if replica.report is None:
             return math.inf
-        load = self.parts.loads.view(replica, now)
+        load = self.components.loads.view(replica, now)
         if not load.fresh:
             return math.inf
         return load.prefill_tokens / max(1.0, replica.report.prefill_rate)
@@ -189,13 +191,13 @@
     def look_for_overdue(self, now: float) -> None:
         """Tells the outlier rule how late the work of each replica is."""
         ratios: dict[str, list[float]] = {name: [] for name in self.replicas}
-        for flight in self.parts.loads.in_flight.values():
+        for flight in self.components.loads.in_flight.values():
             if flight.expected > 0 and flight.replica in ratios:
                 age = now - flight.sent
                 ratios[flight.replica].append(age / flight.expected)
         for name, found in ratios.items():
             late = sum(found) / len(found) if found else 0.0
-            self.parts.outliers.overdue(name, late)
+            self.components.outliers.overdue(name, late)
 
 
 def scaled(load: loads.Load, weight: float) -> loads.Load:
