--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -74,8 +74,8 @@
     []
     """
 
-    def __init__(self, parts: Parts):
-        self.components = parts
+    def __init__(self, components: Parts):
+        self.components = components
         self.replicas: dict[str, types.Replica] = {}
         self.lengths = RequestLengths()
 
