--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -84,7 +84,7 @@
     ) -> list[placement.Candidate]:
         """The replicas that serve the request, with room for it or not."""
         request = turn.item.request
-        long = turn.item.long and self.held_back(now)
+        long = turn.item.long and self.is_long_held_back(now)
         found = []
         for replica in self.fitting(request):
             load = self.components.loads.view(replica, now)
@@ -102,7 +102,7 @@
             )
         return found
 
-    def held_back(self, now: float) -> bool:
+    def is_long_held_back(self, now: float) -> bool:
         """Whether long requests must leave room for short ones.
 
         A node may always have one of them running, however busy the short
@@ -118,7 +118,7 @@
 
     def long_room(self, now: float) -> bool:
         """Whether any replica has room for a long request."""
-        if not self.held_back(now):
+        if not self.is_long_held_back(now):
             return True
         for replica in self.replicas.values():
             load = self.components.loads.view(replica, now)
