--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -257,7 +257,7 @@
 
     def next_action(self, now: float) -> types.Action | None:
         """Sends or refuses the first waiting request that can be."""
-        long_room = self.selection.long_room(now)
+        long_room = self.selection.has_long_capacity(now)
         ordered = self.parts.queue.ordered(now, long_room)
         for tried, turn in enumerate(ordered):
             if tried >= SCAN:
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -116,7 +116,7 @@
             for replica in self.replicas.values()
         )
 
-    def long_room(self, now: float) -> bool:
+    def has_long_capacity(self, now: float) -> bool:
         """Whether any replica has room for a long request."""
         if not self.is_long_held_back(now):
             return True
