--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -86,7 +86,7 @@
         request = turn.item.request
         long = turn.item.long and self.is_long_held_back(now)
         found = []
-        for replica in self.fitting(request):
+        for replica in self.matching(request):
             load = self.components.loads.view(replica, now)
             weight = self.components.outliers.weight(replica.name)
             if not self.components.outliers.allowed(
@@ -128,7 +128,7 @@
                 return True
         return False
 
-    def fitting(self, request: types.Request) -> list[types.Replica]:
+    def matching(self, request: types.Request) -> list[types.Replica]:
         """The open replicas that serve the request's model and decode.
 
         Those that failed it before are left out while there are others.
@@ -183,7 +183,7 @@
 
     def some_report(self, request: types.Request) -> types.Report | None:
         """Any report of a replica that could serve the request."""
-        for replica in self.fitting(request):
+        for replica in self.matching(request):
             if replica.report is not None:
                 return replica.report
         return None
