--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -285,7 +285,7 @@
             request, replica.name, now, expected, cost, item.long
         )
         self.parts.loads.sent(flight)
-        prefill = self.selection.prefill(request, replica, now)
+        prefill = self.selection.choose_prefill(request, replica, now)
         return types.Dispatch(request, replica.name, prefill)
 
     def item(self, request: types.Request, now: float) -> queues.WaitingRequest:
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -148,7 +148,7 @@
         fresh = [one for one in found if one.name not in request.avoid]
         return fresh or found
 
-    def prefill(
+    def choose_prefill(
         self, request: types.Request, chosen: types.Replica, now: float
     ) -> str:
         """The engine that processes the prompt for the chosen one, if any.
