--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -158,21 +158,21 @@
         """
         least = math.inf
         if chosen.role == types.Role.MIXED:
-            least = self.backlog(chosen, now)
+            least = self.prefill_backlog(chosen, now)
         best = ""
         for replica in self.replicas.values():
             if not replica.open or replica.role != types.Role.PREFILL:
                 continue
             if request.model not in replica.models or replica == chosen:
                 continue
-            backlog = self.backlog(replica, now)
+            backlog = self.prefill_backlog(replica, now)
             if backlog < least:
                 best, least = replica.name, backlog
         if best:
             self.components.loads.prefill_sent(best, request.prompt_tokens, now)
         return best
 
-    def backlog(self, replica: types.Replica, now: float) -> float:
+    def prefill_backlog(self, replica: types.Replica, now: float) -> float:
         """Seconds of prompts that wait at an engine; infinite if unknown."""
         if replica.report is None:
             return math.inf
