--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -157,7 +157,7 @@
             return []
         self.reviewed = now
         for item in list(self.parts.queue.waiting.values()):
-            report = self.selection.some_report(item.request)
+            report = self.selection.any_report(item.request)
             work = self.work(item.request, report, now)
             self.parts.queue.refresh(item._replace(work=work))
         actions = []
@@ -290,7 +290,7 @@
 
     def item(self, request: types.Request, now: float) -> queues.WaitingRequest:
         """The request with its estimates, as it waits."""
-        report = self.selection.some_report(request)
+        report = self.selection.any_report(request)
         work = self.work(request, report, now)
         return queues.WaitingRequest(
             request=request,
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -181,7 +181,7 @@
             return math.inf
         return load.prefill_tokens / max(1.0, replica.report.prefill_rate)
 
-    def some_report(self, request: types.Request) -> types.Report | None:
+    def any_report(self, request: types.Request) -> types.Report | None:
         """Any report of a replica that could serve the request."""
         for replica in self.matching(request):
             if replica.report is not None:
