--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -206,7 +206,7 @@
 
     def tick(self, now: float) -> list[types.Action]:
         """Refuses what is now too late and looks for overdue work."""
-        self.selection.look_for_overdue(now)
+        self.selection.report_overdue(now)
         actions = self.review(now)
         for item in list(self.parts.queue.waiting.values()):
             if self.late(item, now):
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -188,7 +188,7 @@
                 return replica.report
         return None
 
-    def look_for_overdue(self, now: float) -> None:
+    def report_overdue(self, now: float) -> None:
         """Tells the outlier rule how late the work of each replica is."""
         ratios: dict[str, list[float]] = {name: [] for name in self.replicas}
         for flight in self.components.loads.in_flight.values():
