--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -94,7 +94,7 @@
             ):
                 continue
             room = self.components.limits.has_capacity(
-                replica, scaled(load, weight), turn.urgency, long
+                replica, scaled_load(load, weight), turn.urgency, long
             )
             capacity = self.components.limits.capacity(replica, load)
             found.append(
@@ -200,7 +200,7 @@
             self.components.outliers.overdue(name, late)
 
 
-def scaled(load: loads.Load, weight: float) -> loads.Load:
+def scaled_load(load: loads.Load, weight: float) -> loads.Load:
     """The load as it weighs on a replica that is slower than its peers."""
     return load._replace(
         occupied=int(load.occupied / weight), own=int(load.own / weight)
