--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -50,9 +50,9 @@
     most_waiting: int = 512
 
 
-def parts(policy: Policy, rng: random.Random) -> selection.Parts:
+def parts(policy: Policy, rng: random.Random) -> selection.Components:
     """The parts that the real path uses."""
-    return selection.Parts(
+    return selection.Components(
         queue=fairness.FairQueue(),
         admission=admission.DeadlineAdmission(policy.most_waiting, rng),
         placement=placement.TwoChoices(policy.data_centre, rng),
@@ -78,7 +78,7 @@
         self,
         policy: Policy,
         rng: random.Random,
-        composed: selection.Parts | None = None,
+        composed: selection.Components | None = None,
     ):
         self.policy = policy
         self.parts = composed or parts(policy, rng)
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -21,7 +21,7 @@
 SHORT_SEEN_SECONDS = 5.0
 
 
-class Parts(NamedTuple):
+class Components(NamedTuple):
     """The decisions that a scheduler is composed of."""
 
     queue: queues.Queue
@@ -74,7 +74,7 @@
     []
     """
 
-    def __init__(self, components: Parts):
+    def __init__(self, components: Components):
         self.components = components
         self.replicas: dict[str, types.Replica] = {}
         self.lengths = RequestLengths()
