--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -32,7 +32,7 @@
     def tick(self, now: float) -> list[types.Action]:
         """Is called several times a second; refuses what is now too late."""
 
-    def declare(self, shares: dict[str, types.Share]) -> None:
+    def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
 
     def demand(self, now: float) -> types.Demand:
--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -195,7 +195,7 @@
             self.dispatchers[name] = dispatcher
             self.supervise(f"dispatcher-{name}", dispatcher.run)
         for dispatcher in self.dispatchers.values():
-            dispatcher.scheduler.declare(self.shares())
+            dispatcher.scheduler.set_shares(self.shares())
         self.fleet.sync()
         self.control.reconfigure()
 
