--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -106,7 +106,7 @@
         """Nothing waits here."""
         return []
 
-    def declare(self, shares: dict[str, types.Share]) -> None:
+    def set_shares(self, shares: dict[str, types.Share]) -> None:
         """All accounts are alike."""
 
     def demand(self, now: float) -> types.Demand:
