--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -216,7 +216,7 @@
                 actions.append(self.refuse(item, ALL_CLOSED, GRACE))
         return actions + self.pump(now)
 
-    def declare(self, shares: dict[str, types.Share]) -> None:
+    def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
         self.parts.queue.set_shares(shares)
 
