--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -38,7 +38,9 @@
     def demand(self, now: float) -> types.Demand:
         """What callers ask of this node, for the digest to its peers."""
 
-    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
+    def hottest_accounts(
+        self, most: int, now: float
+    ) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
 
     def peers(
--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -85,7 +85,9 @@
         for name, dispatcher in self.dispatchers.items():
             asked = dispatcher.scheduler.demand(now)
             demand.append(thrift.Demand(name, *asked))
-            for use in dispatcher.scheduler.hottest(MOST_ACCOUNTS, now):
+            for use in dispatcher.scheduler.hottest_accounts(
+                MOST_ACCOUNTS, now
+            ):
                 hottest.append(thrift.AccountUse(*use, name))
         hottest.sort(key=lambda use: -use.tokens_per_second)
         return thrift.Digest(
