--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -115,7 +115,9 @@
         """Nothing is measured."""
         return types.Demand(0.0, 0.0, 0)
 
-    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
+    def hottest_accounts(
+        self, most: int, now: float
+    ) -> list[types.AccountUsage]:
         """Nothing is measured."""
         return []
 
