--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -220,7 +220,9 @@
         """Replaces what accounts are entitled to."""
         self.parts.queue.set_shares(shares)
 
-    def hottest(self, most: int, now: float) -> list[types.AccountUsage]:
+    def hottest_accounts(
+        self, most: int, now: float
+    ) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
         return self.parts.queue.hottest_accounts(most, now)
 
