--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -43,7 +43,7 @@
     ) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
 
-    def peers(
+    def update_peers(
         self,
         demands: list[types.Demand],
         uses: list[types.AccountUsage],
--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -117,7 +117,9 @@
                 del self.heard[address]
         for name, dispatcher in self.dispatchers.items():
             dispatcher.others = self.demands(name)
-            dispatcher.scheduler.peers(dispatcher.others, self.uses(name), now)
+            dispatcher.scheduler.update_peers(
+                dispatcher.others, self.uses(name), now
+            )
 
     def demands(self, service: str) -> list[types.Demand]:
         """The demand for a service at each peer that was heard of."""
