--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -121,7 +121,7 @@
         """Nothing is measured."""
         return []
 
-    def peers(
+    def update_peers(
         self,
         demands: list[types.Demand],
         uses: list[types.AccountUsage],
