--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -230,7 +230,7 @@
         """What callers ask of this node, for the digest to its peers."""
         return self.meter.read(len(self.parts.queue.waiting), now)
 
-    def peers(
+    def update_peers(
         self,
         demands: list[types.Demand],
         uses: list[types.AccountUsage],
