--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -63,7 +63,7 @@
     """
 
     # Seconds; a replica that was silent is polled several times by then.
-    RETRY_AFTER = 1.0
+    RETRY_AFTER_SECONDS = 1.0
 
     def __init__(self):
         self.replicas: list[types.Replica] = []
@@ -80,7 +80,7 @@
             fitting.append(replica)
         if not fitting:
             reason = "no replica is open for this request"
-            return [types.Refuse(request, reason, self.RETRY_AFTER)]
+            return [types.Refuse(request, reason, self.RETRY_AFTER_SECONDS)]
         fresh = [r for r in fitting if r.name not in request.avoid]
         fitting = fresh or fitting
         chosen = fitting[self.turn[request.model] % len(fitting)]
