--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -24,7 +24,7 @@
 
 # Seconds for which work waits while no replica is open at all: a replica
 # that restarts or changes its role is often back by then.
-GRACE = 1.0
+CLOSED_GRACE_SECONDS = 1.0
 # Waiting requests that are tried in one go; more only matter where the first
 # ones are for models that have no room.
 SCAN = 64
@@ -213,7 +213,9 @@
                 actions.append(self.refuse(item, TOO_LATE, self.drain()))
                 continue
             if self.shut(now):
-                actions.append(self.refuse(item, ALL_CLOSED, GRACE))
+                actions.append(
+                    self.refuse(item, ALL_CLOSED, CLOSED_GRACE_SECONDS)
+                )
         return actions + self.pump(now)
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
@@ -355,7 +357,7 @@
         """Whether no replica has been open for longer than the grace."""
         if self.closed_since is None:
             return False
-        return now - self.closed_since >= GRACE
+        return now - self.closed_since >= CLOSED_GRACE_SECONDS
 
     def own(self, replica: str) -> int:
         """Own dispatches in progress at a replica."""
