--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -27,7 +27,7 @@
 CLOSED_GRACE_SECONDS = 1.0
 # Waiting requests that are tried in one go; more only matter where the first
 # ones are for models that have no room.
-SCAN = 64
+MAX_TRIED = 64
 # Seconds between two reviews of all that wait; reports come as often.
 REVIEW = 0.25
 # Reasons of refusals, for callers.
@@ -264,7 +264,7 @@
         long_room = self.selection.has_long_capacity(now)
         ordered = self.parts.queue.ordered(now, long_room)
         for tried, turn in enumerate(ordered):
-            if tried >= SCAN:
+            if tried >= MAX_TRIED:
                 break
             if self.late(turn.item, now):
                 return self.refuse(turn.item, TOO_LATE, self.drain())
