--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -29,7 +29,7 @@
 # ones are for models that have no room.
 MAX_TRIED = 64
 # Seconds between two reviews of all that wait; reports come as often.
-REVIEW = 0.25
+REVIEW_INTERVAL_SECONDS = 0.25
 # Reasons of refusals, for callers.
 OVER_LIMIT = "the account uses more tokens a second than it may"
 TOO_LATE = "the answer would come after its deadline"
@@ -153,7 +153,7 @@
         In a burst the engines slow down after the first ones were let in.
         Without a margin, since a passing state must not be made final.
         """
-        if now - self.reviewed < REVIEW:
+        if now - self.reviewed < REVIEW_INTERVAL_SECONDS:
             return []
         self.reviewed = now
         for item in list(self.parts.queue.waiting.values()):
