--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -47,14 +47,14 @@
     """
 
     data_centre: str = ""
-    most_waiting: int = 512
+    max_waiting: int = 512
 
 
 def parts(policy: Policy, rng: random.Random) -> selection.Components:
     """The parts that the real path uses."""
     return selection.Components(
         queue=fairness.FairQueue(),
-        admission=admission.DeadlineAdmission(policy.most_waiting, rng),
+        admission=admission.DeadlineAdmission(policy.max_waiting, rng),
         placement=placement.TwoChoices(policy.data_centre, rng),
         limits=limits.AdaptiveLimits(rng),
         outliers=outliers.PeerOutliers(rng),
