--- a/bench/recovery.py
+++ b/bench/recovery.py
@@ -31,7 +31,7 @@
     """Plays three crashes and returns both shares on time."""
 
     def make(rng: random.Random) -> policy_scheduler.PolicyScheduler:
-        parts = policy_scheduler.parts(variants.POLICY, rng)
+        parts = policy_scheduler.default_components(variants.POLICY, rng)
         parts = parts._replace(reentry=rule)
         return policy_scheduler.PolicyScheduler(variants.POLICY, rng, parts)
 
--- a/features/support/variants.py
+++ b/features/support/variants.py
@@ -42,7 +42,9 @@
     """Makes the policy with one part replaced by its plainer rule."""
 
     def make(rng):
-        parts = policy_scheduler.parts(POLICY, rng)._replace(**plainer(part))
+        parts = policy_scheduler.default_components(POLICY, rng)._replace(
+            **plainer(part)
+        )
         return policy_scheduler.PolicyScheduler(POLICY, rng, parts)
 
     return make
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -50,7 +50,9 @@
     max_waiting: int = 512
 
 
-def parts(policy: Policy, rng: random.Random) -> selection.Components:
+def default_components(
+    policy: Policy, rng: random.Random
+) -> selection.Components:
     """The parts that the real path uses."""
     return selection.Components(
         queue=fairness.FairQueue(),
@@ -81,7 +83,7 @@
         composed: selection.Components | None = None,
     ):
         self.policy = policy
-        self.parts = composed or parts(policy, rng)
+        self.parts = composed or default_components(policy, rng)
         self.selection = selection.Selection(self.parts)
         self.meter = demands_module.DemandMeter()
         self.closed_since: float | None = None
