--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -83,8 +83,8 @@
         composed: selection.Components | None = None,
     ):
         self.policy = policy
-        self.parts = composed or default_components(policy, rng)
-        self.selection = selection.Selection(self.parts)
+        self.components = composed or default_components(policy, rng)
+        self.selection = selection.Selection(self.components)
         self.meter = demands_module.DemandMeter()
         self.closed_since: float | None = None
         self.reviewed = float("-inf")
@@ -97,14 +97,14 @@
         self.selection.lengths.add(item.work)
         prompt = max(1, request.prompt_tokens)
         self.meter.add(prompt, max(0.0, item.cost - prompt), now)
-        if self.parts.queue.is_over_limit(request.account, now):
-            retry_after = self.parts.admission.retry_after(
+        if self.components.queue.is_over_limit(request.account, now):
+            retry_after = self.components.admission.retry_after(
                 fairness.MEMORY_SECONDS
             )
             return [types.Refuse(request, OVER_LIMIT, retry_after)]
-        self.parts.queue.push(item, now)
+        self.components.queue.push(item, now)
         actions = self.pump(now)
-        if request.id not in self.parts.queue.waiting:
+        if request.id not in self.components.queue.waiting:
             return actions
         return actions + self.keep(item, now)
 
@@ -116,16 +116,16 @@
         If too many wait then, one of them is given up for it.
         """
         ahead = 0.0
-        for other, before in self.parts.queue.queued_ahead(now):
+        for other, before in self.components.queue.queued_ahead(now):
             if other is item:
                 ahead = before
-        urgency = self.parts.queue.relative_urgency(item.request.urgency)
+        urgency = self.components.queue.relative_urgency(item.request.urgency)
         refused = self.judge(item, ahead, urgency, now)
-        if refused or not self.parts.admission.is_full(
-            len(self.parts.queue.waiting)
+        if refused or not self.components.admission.is_full(
+            len(self.components.queue.waiting)
         ):
             return refused
-        victim = self.parts.queue.victim(now)
+        victim = self.components.queue.victim(now)
         return [self.refuse(victim, TOO_MANY, self.drain())]
 
     def judge(
@@ -144,7 +144,7 @@
             now: The time.
         """
         outlook = self.outlook(item, ahead, now)._replace(urgency=urgency)
-        if self.parts.admission.is_feasible(outlook):
+        if self.components.admission.is_feasible(outlook):
             return []
         wait = (ahead + item.work) / max(1, outlook.slots)
         return [self.refuse(item, TOO_LATE, wait)]
@@ -158,41 +158,41 @@
         if now - self.reviewed < REVIEW_INTERVAL_SECONDS:
             return []
         self.reviewed = now
-        for item in list(self.parts.queue.waiting.values()):
+        for item in list(self.components.queue.waiting.values()):
             report = self.selection.any_report(item.request)
             work = self.work(item.request, report, now)
-            self.parts.queue.refresh(item._replace(work=work))
+            self.components.queue.refresh(item._replace(work=work))
         actions = []
-        for item, ahead in list(self.parts.queue.queued_ahead(now)):
+        for item, ahead in list(self.components.queue.queued_ahead(now)):
             actions += self.judge(item, ahead, 0, now)
         return actions
 
     def withdraw(self, request_id: str, now: float) -> list[types.Action]:
         """Forgets a request that still waits: its caller has gone."""
-        self.parts.queue.remove(request_id)
+        self.components.queue.remove(request_id)
         return []
 
     def finished(
         self, request_id: str, result: types.Result, now: float
     ) -> list[types.Action]:
         """Notes the end of a dispatch and returns what to do now."""
-        flight = self.parts.loads.in_flight.get(request_id)
+        flight = self.components.loads.in_flight.get(request_id)
         if flight is None:
             return self.pump(now)
         replica = self.selection.replicas.get(flight.replica)
         report = replica.report if replica else None
         own = self.own(flight.replica)
-        self.parts.loads.finished(request_id, now)
+        self.components.loads.finished(request_id, now)
         request = flight.request
-        self.parts.limits.observe(flight, result, own)
-        self.parts.outliers.observe(
+        self.components.limits.observe(flight, result, own)
+        self.components.outliers.observe(
             flight.replica, result, flight.expected, now
         )
-        self.parts.estimator.observe(request, report, result, now)
+        self.components.estimator.observe(request, report, result, now)
         used = max(1.0, request.prompt_tokens + result.output_tokens)
         if result.finish == types.Finish.NOT_STARTED:
             used = 0.0
-        self.parts.queue.settle(request, flight.cost, used)
+        self.components.queue.settle(request, flight.cost, used)
         return self.pump(now)
 
     def update(
@@ -210,7 +210,7 @@
         """Refuses what is now too late and looks for overdue work."""
         self.selection.report_overdue(now)
         actions = self.review(now)
-        for item in list(self.parts.queue.waiting.values()):
+        for item in list(self.components.queue.waiting.values()):
             if self.late(item, now):
                 actions.append(self.refuse(item, TOO_LATE, self.drain()))
                 continue
@@ -222,17 +222,17 @@
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
-        self.parts.queue.set_shares(shares)
+        self.components.queue.set_shares(shares)
 
     def hottest_accounts(
         self, most: int, now: float
     ) -> list[types.AccountUsage]:
         """The accounts that use most here, for the digest to its peers."""
-        return self.parts.queue.hottest_accounts(most, now)
+        return self.components.queue.hottest_accounts(most, now)
 
     def demand(self, now: float) -> types.Demand:
         """What callers ask of this node, for the digest to its peers."""
-        return self.meter.read(len(self.parts.queue.waiting), now)
+        return self.meter.read(len(self.components.queue.waiting), now)
 
     def update_peers(
         self,
@@ -247,14 +247,14 @@
             uses: Their hottest accounts.
             now: The time.
         """
-        self.parts.queue.set_remote_usage(uses)
+        self.components.queue.set_remote_usage(uses)
         share = demands_module.share(self.demand(now), demands)
-        self.parts.limits.set_node_share(share)
+        self.components.limits.set_node_share(share)
 
     def pump(self, now: float) -> list[types.Action]:
         """Sends as much waiting work as there is room for."""
         actions: list[types.Action] = []
-        while self.parts.queue.waiting:
+        while self.components.queue.waiting:
             action = self.next_action(now)
             if action is None:
                 break
@@ -264,14 +264,14 @@
     def next_action(self, now: float) -> types.Action | None:
         """Sends or refuses the first waiting request that can be."""
         long_room = self.selection.has_long_capacity(now)
-        ordered = self.parts.queue.ordered(now, long_room)
+        ordered = self.components.queue.ordered(now, long_room)
         for tried, turn in enumerate(ordered):
             if tried >= MAX_TRIED:
                 break
             if self.late(turn.item, now):
                 return self.refuse(turn.item, TOO_LATE, self.drain())
             candidates = self.selection.candidates(turn, now)
-            chosen = self.parts.placement.choose(
+            chosen = self.components.placement.choose(
                 turn.item.request, candidates, now - turn.item.since
             )
             if chosen is not None:
@@ -283,14 +283,14 @@
     ) -> types.Dispatch:
         """Takes a request out of the queue and sends it."""
         request = item.request
-        self.parts.queue.remove(request.id)
-        self.parts.queue.charge(item, now)
+        self.components.queue.remove(request.id)
+        self.components.queue.charge(item, now)
         expected = self.work(request, replica.report, now)
         cost = 0.0 if request.recovered else item.cost
         flight = loads.InFlightRequest(
             request, replica.name, now, expected, cost, item.long
         )
-        self.parts.loads.sent(flight)
+        self.components.loads.sent(flight)
         prefill = self.selection.choose_prefill(request, replica, now)
         return types.Dispatch(request, replica.name, prefill)
 
@@ -300,8 +300,8 @@
         work = self.work(request, report, now)
         return queues.WaitingRequest(
             request=request,
-            position=self.parts.reentry.position(request, now),
-            cost=self.parts.estimator.tokens(request),
+            position=self.components.reentry.position(request, now),
+            cost=self.components.estimator.tokens(request),
             work=work,
             long=self.selection.lengths.is_long(work),
             since=now,
@@ -311,7 +311,7 @@
         self, request: types.Request, report: types.Report | None, now: float
     ) -> float:
         """Seconds that the request is expected to take."""
-        return self.parts.estimator.seconds(request, report, now)
+        return self.components.estimator.seconds(request, report, now)
 
     def outlook(
         self, item: queues.WaitingRequest, ahead: float, now: float
@@ -322,7 +322,9 @@
             queued_ahead=ahead,
             work=item.work,
             slots=self.slots(item),
-            urgency=self.parts.queue.relative_urgency(item.request.urgency),
+            urgency=self.components.queue.relative_urgency(
+                item.request.urgency
+            ),
         )
 
     def slots(self, item: queues.WaitingRequest) -> int:
@@ -331,29 +333,29 @@
         A short one gains nothing from a long one that ends much later.
         """
         count = 0
-        for flight in self.parts.loads.in_flight.values():
+        for flight in self.components.loads.in_flight.values():
             count += item.long or not flight.long
         return count
 
     def late(self, item: queues.WaitingRequest, now: float) -> bool:
         """Whether it can no longer be in time though it were sent now."""
         left = item.request.deadline - now
-        urgency = self.parts.queue.relative_urgency(item.request.urgency)
+        urgency = self.components.queue.relative_urgency(item.request.urgency)
         alone = admission.WaitEstimate(left, 0.0, item.work, 1, urgency)
-        return not self.parts.admission.is_feasible(alone)
+        return not self.components.admission.is_feasible(alone)
 
     def refuse(
         self, item: queues.WaitingRequest, reason: str, wait: float
     ) -> types.Refuse:
         """Takes a request out of the queue and gives it up."""
-        self.parts.queue.remove(item.request.id)
-        retry_after = self.parts.admission.retry_after(wait)
+        self.components.queue.remove(item.request.id)
+        retry_after = self.components.admission.retry_after(wait)
         return types.Refuse(item.request, reason, retry_after)
 
     def drain(self) -> float:
         """Seconds until all that waits now will have been sent."""
-        work = sum(item.work for item in self.parts.queue.waiting.values())
-        return work / max(1, len(self.parts.loads.in_flight))
+        work = sum(item.work for item in self.components.queue.waiting.values())
+        return work / max(1, len(self.components.loads.in_flight))
 
     def shut(self, now: float) -> bool:
         """Whether no replica has been open for longer than the grace."""
@@ -363,5 +365,5 @@
 
     def own(self, replica: str) -> int:
         """Own dispatches in progress at a replica."""
-        flights = self.parts.loads.in_flight.values()
+        flights = self.components.loads.in_flight.values()
         return sum(flight.replica == replica for flight in flights)
