--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -80,10 +80,10 @@
         self,
         policy: Policy,
         rng: random.Random,
-        composed: selection.Components | None = None,
+        components: selection.Components | None = None,
     ):
         self.policy = policy
-        self.components = composed or default_components(policy, rng)
+        self.components = components or default_components(policy, rng)
         self.selection = selection.Selection(self.components)
         self.meter = demands_module.DemandMeter()
         self.closed_since: float | None = None
