--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -87,7 +87,7 @@
         self.selection = selection.Selection(self.components)
         self.meter = demands_module.DemandMeter()
         self.closed_since: float | None = None
-        self.reviewed = float("-inf")
+        self.last_review = float("-inf")
 
     def offer(self, request: types.Request, now: float) -> list[types.Action]:
         """Takes a new request in and returns what to do now."""
@@ -155,9 +155,9 @@
         In a burst the engines slow down after the first ones were let in.
         Without a margin, since a passing state must not be made final.
         """
-        if now - self.reviewed < REVIEW_INTERVAL_SECONDS:
+        if now - self.last_review < REVIEW_INTERVAL_SECONDS:
             return []
-        self.reviewed = now
+        self.last_review = now
         for item in list(self.components.queue.waiting.values()):
             report = self.selection.any_report(item.request)
             work = self.work(item.request, report, now)
