--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -106,9 +106,9 @@
         actions = self.pump(now)
         if request.id not in self.components.queue.waiting:
             return actions
-        return actions + self.keep(item, now)
+        return actions + self.refuse_if_unservable(item, now)
 
-    def keep(
+    def refuse_if_unservable(
         self, item: queues.WaitingRequest, now: float
     ) -> list[types.Action]:
         """Refuses a request that must wait, if it cannot be in time.
