--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -120,7 +120,7 @@
             if other is item:
                 ahead = before
         urgency = self.components.queue.relative_urgency(item.request.urgency)
-        refused = self.judge(item, ahead, urgency, now)
+        refused = self.refuse_if_late(item, ahead, urgency, now)
         if refused or not self.components.admission.is_full(
             len(self.components.queue.waiting)
         ):
@@ -128,7 +128,7 @@
         victim = self.components.queue.victim(now)
         return [self.refuse(victim, TOO_MANY, self.drain())]
 
-    def judge(
+    def refuse_if_late(
         self,
         item: queues.WaitingRequest,
         ahead: float,
@@ -164,7 +164,7 @@
             self.components.queue.refresh(item._replace(work=work))
         actions = []
         for item, ahead in list(self.components.queue.queued_ahead(now)):
-            actions += self.judge(item, ahead, 0, now)
+            actions += self.refuse_if_late(item, ahead, 0, now)
         return actions
 
     def withdraw(self, request_id: str, now: float) -> list[types.Action]:
