--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -103,7 +103,7 @@
             )
             return [types.Refuse(request, OVER_LIMIT, retry_after)]
         self.components.queue.push(item, now)
-        actions = self.pump(now)
+        actions = self.dispatch_waiting(now)
         if request.id not in self.components.queue.waiting:
             return actions
         return actions + self.refuse_if_unservable(item, now)
@@ -178,7 +178,7 @@
         """Notes the end of a dispatch and returns what to do now."""
         flight = self.components.loads.in_flight.get(request_id)
         if flight is None:
-            return self.pump(now)
+            return self.dispatch_waiting(now)
         replica = self.selection.replicas.get(flight.replica)
         report = replica.report if replica else None
         own = self.own(flight.replica)
@@ -193,7 +193,7 @@
         if result.finish == types.Finish.NOT_STARTED:
             used = 0.0
         self.components.queue.settle(request, flight.cost, used)
-        return self.pump(now)
+        return self.dispatch_waiting(now)
 
     def update(
         self, replicas: list[types.Replica], now: float
@@ -204,7 +204,7 @@
             self.closed_since = None
         elif self.closed_since is None:
             self.closed_since = now
-        return self.pump(now)
+        return self.dispatch_waiting(now)
 
     def tick(self, now: float) -> list[types.Action]:
         """Refuses what is now too late and looks for overdue work."""
@@ -218,7 +218,7 @@
                 actions.append(
                     self.refuse(item, ALL_CLOSED, CLOSED_GRACE_SECONDS)
                 )
-        return actions + self.pump(now)
+        return actions + self.dispatch_waiting(now)
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
         """Replaces what accounts are entitled to."""
@@ -251,7 +251,7 @@
         share = demands_module.share(self.demand(now), demands)
         self.components.limits.set_node_share(share)
 
-    def pump(self, now: float) -> list[types.Action]:
+    def dispatch_waiting(self, now: float) -> list[types.Action]:
         """Sends as much waiting work as there is room for."""
         actions: list[types.Action] = []
         while self.components.queue.waiting:
