--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -91,7 +91,7 @@
 
     def offer(self, request: types.Request, now: float) -> list[types.Action]:
         """Takes a new request in and returns what to do now."""
-        item = self.item(request, now)
+        item = self.new_item(request, now)
         if not item.long:
             self.selection.lengths.last_short = now
         self.selection.lengths.add(item.work)
@@ -294,7 +294,9 @@
         prefill = self.selection.choose_prefill(request, replica, now)
         return types.Dispatch(request, replica.name, prefill)
 
-    def item(self, request: types.Request, now: float) -> queues.WaitingRequest:
+    def new_item(
+        self, request: types.Request, now: float
+    ) -> queues.WaitingRequest:
         """The request with its estimates, as it waits."""
         report = self.selection.any_report(request)
         work = self.work(request, report, now)
