--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -160,7 +160,7 @@
         self.last_review = now
         for item in list(self.components.queue.waiting.values()):
             report = self.selection.any_report(item.request)
-            work = self.work(item.request, report, now)
+            work = self.expected_seconds(item.request, report, now)
             self.components.queue.refresh(item._replace(work=work))
         actions = []
         for item, ahead in list(self.components.queue.queued_ahead(now)):
@@ -285,7 +285,7 @@
         request = item.request
         self.components.queue.remove(request.id)
         self.components.queue.charge(item, now)
-        expected = self.work(request, replica.report, now)
+        expected = self.expected_seconds(request, replica.report, now)
         cost = 0.0 if request.recovered else item.cost
         flight = loads.InFlightRequest(
             request, replica.name, now, expected, cost, item.long
@@ -299,7 +299,7 @@
     ) -> queues.WaitingRequest:
         """The request with its estimates, as it waits."""
         report = self.selection.any_report(request)
-        work = self.work(request, report, now)
+        work = self.expected_seconds(request, report, now)
         return queues.WaitingRequest(
             request=request,
             position=self.components.reentry.position(request, now),
@@ -309,7 +309,7 @@
             since=now,
         )
 
-    def work(
+    def expected_seconds(
         self, request: types.Request, report: types.Report | None, now: float
     ) -> float:
         """Seconds that the request is expected to take."""
