--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -143,7 +143,7 @@
             urgency: To judge it by; 0 leaves no margin.
             now: The time.
         """
-        outlook = self.outlook(item, ahead, now)._replace(urgency=urgency)
+        outlook = self.wait_estimate(item, ahead, now)._replace(urgency=urgency)
         if self.components.admission.is_feasible(outlook):
             return []
         wait = (ahead + item.work) / max(1, outlook.slots)
@@ -315,7 +315,7 @@
         """Seconds that the request is expected to take."""
         return self.components.estimator.seconds(request, report, now)
 
-    def outlook(
+    def wait_estimate(
         self, item: queues.WaitingRequest, ahead: float, now: float
     ) -> admission.WaitEstimate:
         """What a waiting request can expect."""
