--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -211,7 +211,7 @@
         self.selection.report_overdue(now)
         actions = self.review(now)
         for item in list(self.components.queue.waiting.values()):
-            if self.late(item, now):
+            if self.is_late(item, now):
                 actions.append(self.refuse(item, TOO_LATE, self.drain()))
                 continue
             if self.shut(now):
@@ -268,7 +268,7 @@
         for tried, turn in enumerate(ordered):
             if tried >= MAX_TRIED:
                 break
-            if self.late(turn.item, now):
+            if self.is_late(turn.item, now):
                 return self.refuse(turn.item, TOO_LATE, self.drain())
             candidates = self.selection.candidates(turn, now)
             chosen = self.components.placement.choose(
@@ -339,7 +339,7 @@
             count += item.long or not flight.long
         return count
 
-    def late(self, item: queues.WaitingRequest, now: float) -> bool:
+    def is_late(self, item: queues.WaitingRequest, now: float) -> bool:
         """Whether it can no longer be in time though it were sent now."""
         left = item.request.deadline - now
         urgency = self.components.queue.relative_urgency(item.request.urgency)
