--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -126,7 +126,7 @@
         ):
             return refused
         victim = self.components.queue.victim(now)
-        return [self.refuse(victim, TOO_MANY, self.drain())]
+        return [self.refuse(victim, TOO_MANY, self.drain_seconds())]
 
     def refuse_if_late(
         self,
@@ -212,7 +212,9 @@
         actions = self.review(now)
         for item in list(self.components.queue.waiting.values()):
             if self.is_late(item, now):
-                actions.append(self.refuse(item, TOO_LATE, self.drain()))
+                actions.append(
+                    self.refuse(item, TOO_LATE, self.drain_seconds())
+                )
                 continue
             if self.shut(now):
                 actions.append(
@@ -269,7 +271,7 @@
             if tried >= MAX_TRIED:
                 break
             if self.is_late(turn.item, now):
-                return self.refuse(turn.item, TOO_LATE, self.drain())
+                return self.refuse(turn.item, TOO_LATE, self.drain_seconds())
             candidates = self.selection.candidates(turn, now)
             chosen = self.components.placement.choose(
                 turn.item.request, candidates, now - turn.item.since
@@ -354,7 +356,7 @@
         retry_after = self.components.admission.retry_after(wait)
         return types.Refuse(item.request, reason, retry_after)
 
-    def drain(self) -> float:
+    def drain_seconds(self) -> float:
         """Seconds until all that waits now will have been sent."""
         work = sum(item.work for item in self.components.queue.waiting.values())
         return work / max(1, len(self.components.loads.in_flight))
