--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -216,7 +216,7 @@
                     self.refuse(item, TOO_LATE, self.drain_seconds())
                 )
                 continue
-            if self.shut(now):
+            if self.is_closed(now):
                 actions.append(
                     self.refuse(item, ALL_CLOSED, CLOSED_GRACE_SECONDS)
                 )
@@ -361,7 +361,7 @@
         work = sum(item.work for item in self.components.queue.waiting.values())
         return work / max(1, len(self.components.loads.in_flight))
 
-    def shut(self, now: float) -> bool:
+    def is_closed(self, now: float) -> bool:
         """Whether no replica has been open for longer than the grace."""
         if self.closed_since is None:
             return False
