--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -181,7 +181,7 @@
             return self.dispatch_waiting(now)
         replica = self.selection.replicas.get(flight.replica)
         report = replica.report if replica else None
-        own = self.own(flight.replica)
+        own = self.count_own(flight.replica)
         self.components.loads.finished(request_id, now)
         request = flight.request
         self.components.limits.observe(flight, result, own)
@@ -367,7 +367,7 @@
             return False
         return now - self.closed_since >= CLOSED_GRACE_SECONDS
 
-    def own(self, replica: str) -> int:
+    def count_own(self, replica: str) -> int:
         """Own dispatches in progress at a replica."""
         flights = self.components.loads.in_flight.values()
         return sum(flight.replica == replica for flight in flights)
