--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -101,7 +101,7 @@
     engine: str
     peer: str
     tokens: int
-    prefill_demand: float
+    prefill_seconds: float
     total_seconds: float
     load: float
     late_ahead: float = 0.0
