--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -203,7 +203,7 @@
         else:
             choice = self.shortest(homes, prompt)
         if self.policy.latency:
-            choice = choice._replace(load=choice.reading)
+            choice = choice._replace(load=choice.prefill_seconds)
         rank = lateness.Rank(ask.urgency, False, False, False)
         if self.policy.ranked:
             rank = lateness.rank(
--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -47,7 +47,7 @@
 class Admission(Protocol):
     """Whether a request that cannot be sent at once may wait."""
 
-    def is_feasible(self, outlook: WaitEstimate) -> bool:
+    def is_feasible(self, estimate: WaitEstimate) -> bool:
         """Whether its answer can be whole before its deadline."""
 
     def is_full(self, queued: int) -> bool:
@@ -68,13 +68,13 @@
         self.max_waiting = max_waiting
         self.rng = rng
 
-    def is_feasible(self, outlook: WaitEstimate) -> bool:
+    def is_feasible(self, estimate: WaitEstimate) -> bool:
         """Whether its answer can be whole before its deadline."""
-        wait = outlook.queued_ahead / max(1, outlook.slots)
+        wait = estimate.queued_ahead / max(1, estimate.slots)
         margin = ESTIMATE_MARGIN * min(
-            1.0, outlook.urgency / FULL_MARGIN_URGENCY
+            1.0, estimate.urgency / FULL_MARGIN_URGENCY
         )
-        return (wait + outlook.work) * (1 + margin) <= outlook.time_left
+        return (wait + estimate.work) * (1 + margin) <= estimate.time_left
 
     def is_full(self, queued: int) -> bool:
         """Whether too many wait."""
@@ -89,7 +89,7 @@
 class AdmitAll:
     """The baseline: all may wait, and all come back after a second."""
 
-    def is_feasible(self, outlook: WaitEstimate) -> bool:
+    def is_feasible(self, estimate: WaitEstimate) -> bool:
         """Always."""
         return True
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -68,8 +68,8 @@
         age: Seconds since it came.
         expected: Seconds until its prompt is read.
         objective: Seconds from its coming within which it is worth most.
-        waits: Seconds for which its caller still waits.
-        behind: Seconds of deferred prompts that wait before it if it is
+        abandon_timeout: Seconds for which its caller still waits.
+        deferred_ahead: Seconds of deferred prompts that wait before it if it is
             deferred.
         load: Seconds for which it holds up others.
     """
--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -86,12 +86,12 @@
         """Sets this node's share of what all nodes send, above 0 to 1."""
 
     def observe(
-        self, flight: loads.InFlightRequest, result: types.Result, own: int
+        self, entry: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
         """Learns from the end of a dispatch.
 
         Args:
-            flight: The dispatch.
+            entry: The dispatch.
             result: Its end.
             own: Own dispatches at the replica before it ended.
         """
@@ -185,17 +185,17 @@
         )
 
     def observe(
-        self, flight: loads.InFlightRequest, result: types.Result, own: int
+        self, entry: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
         """Learns from the end of a dispatch."""
         if result.finish == types.Finish.CANCELLED:
             return
         old = self.plain_limits.get(
-            flight.replica, PlainLimit(INITIAL_LIMIT, math.inf)
+            entry.replica, PlainLimit(INITIAL_LIMIT, math.inf)
         )
         if result.finish != types.Finish.DONE:
             limit = max(MIN_LIMIT, old.limit * DECREASE_FACTOR)
-            self.plain_limits[flight.replica] = PlainLimit(
+            self.plain_limits[entry.replica] = PlainLimit(
                 limit, old.fast_seconds
             )
             return
@@ -205,7 +205,7 @@
             limit = max(MIN_LIMIT, limit * DECREASE_FACTOR)
         elif own >= limit / 2:
             limit = min(MAX_LIMIT, limit + 1 / limit)
-        self.plain_limits[flight.replica] = PlainLimit(limit, fast)
+        self.plain_limits[entry.replica] = PlainLimit(limit, fast)
 
 
 class NoLimits:
@@ -229,6 +229,6 @@
         """Changes nothing."""
 
     def observe(
-        self, flight: loads.InFlightRequest, result: types.Result, own: int
+        self, entry: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
         """Learns nothing."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -73,7 +73,7 @@
 
     in_flight: dict[str, InFlightRequest]
 
-    def sent(self, flight: InFlightRequest) -> None:
+    def sent(self, entry: InFlightRequest) -> None:
         """Notes a dispatch."""
 
     def prefill_sent(self, replica: str, tokens: int, now: float) -> None:
@@ -89,7 +89,7 @@
 class CorrectedLoads:
     """Adds own dispatches since the report was taken on top of it.
 
-    >>> loads.sent(flight)
+    >>> loads.sent(entry)
     >>> loads.view(replica, now=1.0).occupied
     1
     """
@@ -102,10 +102,10 @@
         self.ended: dict[str, collections.deque[EndedDispatch]] = {}
         self.prefills: dict[str, collections.deque[tuple[float, int]]] = {}
 
-    def sent(self, flight: InFlightRequest) -> None:
+    def sent(self, entry: InFlightRequest) -> None:
         """Notes a dispatch."""
-        self.in_flight[flight.request.id] = flight
-        self.by_replica[flight.replica][flight.request.id] = flight.long
+        self.in_flight[entry.request.id] = entry
+        self.by_replica[entry.replica][entry.request.id] = entry.long
 
     def prefill_sent(self, replica: str, tokens: int, now: float) -> None:
         """Notes a prompt that an engine processes for another one."""
@@ -116,15 +116,15 @@
 
     def finished(self, request_id: str, now: float) -> InFlightRequest | None:
         """Notes its end and returns it; None if it is not known."""
-        flight = self.in_flight.pop(request_id, None)
-        if flight is None:
+        entry = self.in_flight.pop(request_id, None)
+        if entry is None:
             return None
-        self.by_replica[flight.replica].pop(request_id, None)
-        ended = self.ended.setdefault(flight.replica, collections.deque())
-        ended.append(EndedDispatch(flight.sent, now))
+        self.by_replica[entry.replica].pop(request_id, None)
+        ended = self.ended.setdefault(entry.replica, collections.deque())
+        ended.append(EndedDispatch(entry.sent, now))
         while ended and ended[0].ended < now - STALE_AFTER_SECONDS:
             ended.popleft()
-        return flight
+        return entry
 
     def view(self, replica: types.Replica, now: float) -> Load:
         """What is believed of the replica."""
@@ -160,9 +160,9 @@
         """Prompt tokens of own dispatches since ``taken``."""
         total = 0.0
         for name in at:
-            flight = self.in_flight[name]
-            if flight.sent > taken:
-                total += flight.request.prompt_tokens
+            entry = self.in_flight[name]
+            if entry.sent > taken:
+                total += entry.request.prompt_tokens
         return total
 
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -143,10 +143,12 @@
             urgency: To judge it by; 0 leaves no margin.
             now: The time.
         """
-        outlook = self.wait_estimate(item, ahead, now)._replace(urgency=urgency)
-        if self.components.admission.is_feasible(outlook):
+        estimate = self.wait_estimate(item, ahead, now)._replace(
+            urgency=urgency
+        )
+        if self.components.admission.is_feasible(estimate):
             return []
-        wait = (ahead + item.work) / max(1, outlook.slots)
+        wait = (ahead + item.work) / max(1, estimate.slots)
         return [self.refuse(item, TOO_LATE, wait)]
 
     def review(self, now: float) -> list[types.Action]:
@@ -176,23 +178,23 @@
         self, request_id: str, result: types.Result, now: float
     ) -> list[types.Action]:
         """Notes the end of a dispatch and returns what to do now."""
-        flight = self.components.loads.in_flight.get(request_id)
-        if flight is None:
+        entry = self.components.loads.in_flight.get(request_id)
+        if entry is None:
             return self.dispatch_waiting(now)
-        replica = self.selection.replicas.get(flight.replica)
+        replica = self.selection.replicas.get(entry.replica)
         report = replica.report if replica else None
-        own = self.count_own(flight.replica)
+        own = self.count_own(entry.replica)
         self.components.loads.finished(request_id, now)
-        request = flight.request
-        self.components.limits.observe(flight, result, own)
+        request = entry.request
+        self.components.limits.observe(entry, result, own)
         self.components.outliers.observe(
-            flight.replica, result, flight.expected, now
+            entry.replica, result, entry.expected, now
         )
         self.components.estimator.observe(request, report, result, now)
         used = max(1.0, request.prompt_tokens + result.output_tokens)
         if result.finish == types.Finish.NOT_STARTED:
             used = 0.0
-        self.components.queue.settle(request, flight.cost, used)
+        self.components.queue.settle(request, entry.cost, used)
         return self.dispatch_waiting(now)
 
     def update(
@@ -289,10 +291,10 @@
         self.components.queue.charge(item, now)
         expected = self.expected_seconds(request, replica.report, now)
         cost = 0.0 if request.recovered else item.cost
-        flight = loads.InFlightRequest(
+        entry = loads.InFlightRequest(
             request, replica.name, now, expected, cost, item.long
         )
-        self.components.loads.sent(flight)
+        self.components.loads.sent(entry)
         prefill = self.selection.choose_prefill(request, replica, now)
         return types.Dispatch(request, replica.name, prefill)
 
@@ -337,8 +339,8 @@
         A short one gains nothing from a long one that ends much later.
         """
         count = 0
-        for flight in self.components.loads.in_flight.values():
-            count += item.long or not flight.long
+        for entry in self.components.loads.in_flight.values():
+            count += item.long or not entry.long
         return count
 
     def is_late(self, item: queues.WaitingRequest, now: float) -> bool:
@@ -369,5 +371,5 @@
 
     def count_own(self, replica: str) -> int:
         """Own dispatches in progress at a replica."""
-        flights = self.components.loads.in_flight.values()
-        return sum(flight.replica == replica for flight in flights)
+        entries = self.components.loads.in_flight.values()
+        return sum(entry.replica == replica for entry in entries)
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -89,11 +89,11 @@
         peer: Address of the engine to copy cached parts from; empty for
             none.
         tokens: Those that are left to be read.
-        reading: Seconds that reading them takes.
-        total: Seconds until they are read, with the wait.
+        prefill_seconds: Seconds that reading them takes.
+        total_seconds: Seconds until they are read, with the wait.
         load: Seconds for which it holds up prompts that come later.
-        behind: Seconds of late prompts before it, if it is late itself.
-        late: Where it counts among late prompts; empty if it is on time.
+        late_ahead: Seconds of late prompts before it, if it is late itself.
+        late_key: Where it counts among late prompts; empty if it is on time.
         late_load: Seconds for which it holds up late prompts behind it.
         urgency: With which it counts among what waits.
     """
@@ -145,7 +145,9 @@
 
     def median_rate(self) -> float:
         """Tokens a second that engines read, the middle one of those known."""
-        rates = [pace.rate for pace in self.prefill_estimators.values()]
+        rates = [
+            estimator.rate for estimator in self.prefill_estimators.values()
+        ]
         return statistics.median(rates) if rates else prefill_rates.INITIAL_RATE
 
     def expected_wait(
@@ -239,20 +241,20 @@
             copying = COPY_OVERHEAD_SECONDS + gained / copy_rate
             cached = holder.tokens
         tokens = max(0, prompt.tokens - cached)
-        pace = self.prefill_estimator(engine.name)
-        reading = pace.prefill_seconds(tokens)
+        estimator = self.prefill_estimator(engine.name)
+        prefill_seconds = estimator.prefill_seconds(tokens)
         delay = self.expected_wait(engine.name, now, prompt.urgency)
-        total = delay + copying + reading
-        behind = self.late_ahead(engine.name, prompt.urgency, now)
-        load = pace.busy_seconds(tokens)
+        total = delay + copying + prefill_seconds
+        late_ahead = self.late_ahead(engine.name, prompt.urgency, now)
+        load = estimator.busy_seconds(tokens)
         return Choice(
             engine.name,
             peer,
             tokens,
-            reading,
+            prefill_seconds,
             total,
             load,
-            behind,
+            late_ahead,
             urgency=min(prompt.urgency, MAX_URGENCY),
         )
 
@@ -289,7 +291,7 @@
             choice: Where it goes.
             chain: Its parts.
             model: The model asked for.
-            memory: Tokens that the engine's memory holds.
+            cache_capacity: Tokens that the engine's memory holds.
             urgency: The route's, if the prompt is late: others go before it
                 and hardly wait for it. None if it is on time.
 
@@ -301,7 +303,7 @@
         if urgency is not None:
             choice = choice._replace(
                 load=choice.load * LATE_LOAD_FRACTION,
-                late=urgency_key(choice.engine, urgency),
+                late_key=urgency_key(choice.engine, urgency),
                 # It holds up all a little, the most urgent too.
                 urgency=0,
                 late_load=choice.load,
@@ -320,9 +322,13 @@
         """Learns from a prompt that was read."""
         self.remove(choice)
         if not choice.late_key:
-            pace = self.prefill_estimator(choice.engine)
-            pace.observe(
-                choice.tokens, choice.reading, seconds, now, choice.urgency
+            estimator = self.prefill_estimator(choice.engine)
+            estimator.observe(
+                choice.tokens,
+                choice.prefill_seconds,
+                seconds,
+                now,
+                choice.urgency,
             )
         self.notify_load_change()
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -60,7 +60,7 @@
 
         Args:
             now: The time.
-            long_room: Whether long requests may be sent; else they are left
+            allow_long: Whether long requests may be sent; else they are left
                 out, and hold up nothing behind them.
         """
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -191,10 +191,10 @@
     def report_overdue(self, now: float) -> None:
         """Tells the outlier rule how late the work of each replica is."""
         ratios: dict[str, list[float]] = {name: [] for name in self.replicas}
-        for flight in self.components.loads.in_flight.values():
-            if flight.expected > 0 and flight.replica in ratios:
-                age = now - flight.sent
-                ratios[flight.replica].append(age / flight.expected)
+        for entry in self.components.loads.in_flight.values():
+            if entry.expected > 0 and entry.replica in ratios:
+                age = now - entry.sent
+                ratios[entry.replica].append(age / entry.expected)
         for name, found in ratios.items():
             late = sum(found) / len(found) if found else 0.0
             self.components.outliers.overdue(name, late)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -221,7 +221,8 @@
             exceptions.EndpointError: It failed.
         """
         timeout = max(
-            MIN_PREFILL_TIMEOUT_SECONDS, PREFILL_TIMEOUT_FACTOR * choice.reading
+            MIN_PREFILL_TIMEOUT_SECONDS,
+            PREFILL_TIMEOUT_FACTOR * choice.prefill_seconds,
         )
         started = time.monotonic()
         self.directory.started(choice.engine, started)
