--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -118,7 +118,7 @@
             return True
         self.restarted(replica, state.started_at)
         self.replicas[instance] = replica._replace(
-            born=state.started_at, role=state.role, orders=state.orders
+            started_at=state.started_at, role=state.role, orders=state.orders
         )
         return True
 
