--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -21,7 +21,7 @@
 
 # Seconds that an engine which refused a request as not run gets no other: it
 # is full or changes its role.
-REFUSAL_PAUSE = 0.25
+REFUSAL_PAUSE_SECONDS = 0.25
 # Seconds for which a replica that says it is another one, or has another role,
 # gets no other request: its entry is corrected after 1 to 3 s.
 MISTAKEN_PAUSE = 2.0
@@ -373,7 +373,9 @@
     ) -> None:
         """Sends a replica that refused a request nothing more for a while."""
         mistaken = isinstance(error, exceptions.EndpointMistaken)
-        self.pause(instance, now, MISTAKEN_PAUSE if mistaken else REFUSAL_PAUSE)
+        self.pause(
+            instance, now, MISTAKEN_PAUSE if mistaken else REFUSAL_PAUSE_SECONDS
+        )
 
     def to_ask(self, now: float) -> set[str]:
         """The replicas that are to give a sign of life.
