--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -24,7 +24,7 @@
 REFUSAL_PAUSE_SECONDS = 0.25
 # Seconds for which a replica that says it is another one, or has another role,
 # gets no other request: its entry is corrected after 1 to 3 s.
-MISTAKEN_PAUSE = 2.0
+MISTAKEN_PAUSE_SECONDS = 2.0
 # Seconds between two questions to a silent replica for a sign of life, at
 # first and at most: 73 nodes that ask 18 lost engines ten times a second make
 # 13,000 calls a second.
@@ -374,7 +374,9 @@
         """Sends a replica that refused a request nothing more for a while."""
         mistaken = isinstance(error, exceptions.EndpointMistaken)
         self.pause(
-            instance, now, MISTAKEN_PAUSE if mistaken else REFUSAL_PAUSE_SECONDS
+            instance,
+            now,
+            MISTAKEN_PAUSE_SECONDS if mistaken else REFUSAL_PAUSE_SECONDS,
         )
 
     def to_ask(self, now: float) -> set[str]:
