--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -28,7 +28,7 @@
 # Seconds between two questions to a silent replica for a sign of life, at
 # first and at most: 73 nodes that ask 18 lost engines ten times a second make
 # 13,000 calls a second.
-FIRST_LOOK = 0.1
+FIRST_PROBE_INTERVAL_SECONDS = 0.1
 LONGEST_LOOK = 1.0
 # Share of an engine by which one elsewhere has to be emptier.
 ELSEWHERE = 0.1
@@ -388,7 +388,9 @@
         self.doubts.clear()
         self.doubted.clear()
         for instance in self.suspects:
-            due, pause = self.looks.get(instance, (now, FIRST_LOOK))
+            due, pause = self.looks.get(
+                instance, (now, FIRST_PROBE_INTERVAL_SECONDS)
+            )
             if now >= due:
                 asked.add(instance)
                 longer = min(2 * pause, LONGEST_LOOK)
