--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -29,7 +29,7 @@
 # first and at most: 73 nodes that ask 18 lost engines ten times a second make
 # 13,000 calls a second.
 FIRST_PROBE_INTERVAL_SECONDS = 0.1
-LONGEST_LOOK = 1.0
+MAX_PROBE_INTERVAL_SECONDS = 1.0
 # Share of an engine by which one elsewhere has to be emptier.
 ELSEWHERE = 0.1
 # The same for one to which no connection is open: hundreds of nodes that each
@@ -393,7 +393,7 @@
             )
             if now >= due:
                 asked.add(instance)
-                longer = min(2 * pause, LONGEST_LOOK)
+                longer = min(2 * pause, MAX_PROBE_INTERVAL_SECONDS)
                 self.looks[instance] = (now + pause, longer)
         return asked
 
