--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -31,7 +31,7 @@
 FIRST_PROBE_INTERVAL_SECONDS = 0.1
 MAX_PROBE_INTERVAL_SECONDS = 1.0
 # Share of an engine by which one elsewhere has to be emptier.
-ELSEWHERE = 0.1
+OTHER_DATA_CENTRE_PENALTY = 0.1
 # The same for one to which no connection is open: hundreds of nodes that each
 # use every engine open 0.55 connections for each request, and an engine takes
 # so many from all of them.
@@ -453,7 +453,7 @@
         for engine in engines:
             key = self.streams.total(engine.instance, now)
             if engine.data_centre != data_centre:
-                key += ELSEWHERE
+                key += OTHER_DATA_CENTRE_PENALTY
             if not connected(engine):
                 key += UNCONNECTED
             key += self.rng.random() * 1e-3
