--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -35,7 +35,7 @@
 # The same for one to which no connection is open: hundreds of nodes that each
 # use every engine open 0.55 connections for each request, and an engine takes
 # so many from all of them.
-UNCONNECTED = 0.1
+UNCONNECTED_PENALTY = 0.1
 # Seconds after this node learnt that an engine leaves for which it is still
 # used where no other generates: it serves on for two seconds, and a change
 # of role takes three.
@@ -455,7 +455,7 @@
             if engine.data_centre != data_centre:
                 key += OTHER_DATA_CENTRE_PENALTY
             if not connected(engine):
-                key += UNCONNECTED
+                key += UNCONNECTED_PENALTY
             key += self.rng.random() * 1e-3
             if key < best_key:
                 best, best_key = engine, key
