--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -39,7 +39,7 @@
 # Seconds after this node learnt that an engine leaves for which it is still
 # used where no other generates: it serves on for two seconds, and a change
 # of role takes three.
-LEAVING_USE = 0.9
+DRAINING_USE_SECONDS = 0.9
 
 
 class Directory:
@@ -290,7 +290,7 @@
         found = []
         for instance, since in self.leaving.items():
             replica = self.replicas[instance]
-            if replica.service != service or now - since > LEAVING_USE:
+            if replica.service != service or now - since > DRAINING_USE_SECONDS:
                 continue
             if self.reads(replica, now):
                 continue
