--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -217,16 +217,16 @@
             now: The time.
             avoid: Instances that failed this request before.
         """
-        fine = []
+        healthy = []
         doubtful = []
         for replica in self.known(service):
             if replica.instance in avoid:
                 continue
             if self.fine(replica.instance, now):
-                fine.append(replica)
+                healthy.append(replica)
             else:
                 doubtful.append(replica)
-        return fine or doubtful
+        return healthy or doubtful
 
     def usable(self, instance: str) -> bool:
         """Whether a replica is known, stays, and is not silent."""
