--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -218,15 +218,15 @@
             avoid: Instances that failed this request before.
         """
         healthy = []
-        doubtful = []
+        unhealthy = []
         for replica in self.known(service):
             if replica.instance in avoid:
                 continue
             if self.fine(replica.instance, now):
                 healthy.append(replica)
             else:
-                doubtful.append(replica)
-        return healthy or doubtful
+                unhealthy.append(replica)
+        return healthy or unhealthy
 
     def usable(self, instance: str) -> bool:
         """Whether a replica is known, stays, and is not silent."""
