--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -261,7 +261,7 @@
             now: The time.
             avoid: Instances that failed this request before.
         """
-        fine = []
+        healthy = []
         doubtful = []
         for replica in self.working(service):
             if self.reads(replica, now) != reads:
@@ -271,10 +271,10 @@
             if self.changing.get(replica.instance, -math.inf) > now:
                 continue
             if self.fine(replica.instance, now):
-                fine.append(replica)
+                healthy.append(replica)
             else:
                 doubtful.append(replica)
-        found = fine or doubtful
+        found = healthy or doubtful
         if not found and not reads:
             found = self.just_leaving(service, now)
         if found and not reads:
