--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -262,7 +262,7 @@
             avoid: Instances that failed this request before.
         """
         healthy = []
-        doubtful = []
+        unhealthy = []
         for replica in self.working(service):
             if self.reads(replica, now) != reads:
                 continue
@@ -273,8 +273,8 @@
             if self.fine(replica.instance, now):
                 healthy.append(replica)
             else:
-                doubtful.append(replica)
-        found = healthy or doubtful
+                unhealthy.append(replica)
+        found = healthy or unhealthy
         if not found and not reads:
             found = self.just_leaving(service, now)
         if found and not reads:
