--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -246,7 +246,7 @@
     def engines(
         self,
         service: str,
-        reads: bool,
+        prefill: bool,
         now: float,
         avoid: frozenset[str] = frozenset(),
     ) -> list[types.Replica]:
@@ -264,7 +264,7 @@
         healthy = []
         unhealthy = []
         for replica in self.working(service):
-            if self.reads(replica, now) != reads:
+            if self.reads(replica, now) != prefill:
                 continue
             if replica.instance in avoid:
                 continue
@@ -275,9 +275,9 @@
             else:
                 unhealthy.append(replica)
         found = healthy or unhealthy
-        if not found and not reads:
+        if not found and not prefill:
             found = self.just_leaving(service, now)
-        if found and not reads:
+        if found and not prefill:
             self.generating[service] = now
         return found
 
