--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -54,7 +54,7 @@
     def __init__(self, rng: random.Random):
         self.rng = rng
         self.replicas: dict[str, types.Replica] = {}
-        self.paused: dict[str, float] = {}
+        self.paused_until: dict[str, float] = {}
         self.lapsing: dict[str, float] = {}
         self.changing: dict[str, float] = {}
         self.leaving: dict[str, float] = {}
@@ -89,7 +89,7 @@
             self.leaving.setdefault(replica.instance, time.monotonic())
         if old is not None and old.role != replica.role:
             self.changing.pop(replica.instance, None)
-            self.paused.pop(replica.instance, None)
+            self.paused_until.pop(replica.instance, None)
         if old is not None and old._replace(orders=0) == replica._replace(
             orders=0
         ):
@@ -163,7 +163,7 @@
         instance = replica.instance
         del self.replicas[instance]
         self.lapsing.pop(instance, None)
-        self.paused.pop(instance, None)
+        self.paused_until.pop(instance, None)
         self.changing.pop(instance, None)
         self.leaving.pop(instance, None)
         self.confirmed.pop(instance, None)
@@ -239,7 +239,7 @@
         """Whether nothing speaks against sending work to a replica."""
         if instance in self.suspects:
             return False
-        if self.paused.get(instance, -math.inf) > now:
+        if self.paused_until.get(instance, -math.inf) > now:
             return False
         return self.health.is_allowed(instance, now)
 
@@ -403,7 +403,7 @@
         """Believes an engine's role before its entry shows it."""
         self.confirmed[instance] = (role, until)
         self.changing.pop(instance, None)
-        self.paused.pop(instance, None)
+        self.paused_until.pop(instance, None)
 
     def role(
         self, replica: types.Replica, now: float
@@ -463,7 +463,7 @@
 
     def pause(self, instance: str, now: float, seconds: float) -> None:
         """Sends a replica nothing more for a moment while there are others."""
-        self.paused[instance] = now + seconds
+        self.paused_until[instance] = now + seconds
 
     def started(self, instance: str, now: float) -> None:
         """Counts a request that is sent to a replica."""
