--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -55,7 +55,7 @@
         self.rng = rng
         self.replicas: dict[str, types.Replica] = {}
         self.paused_until: dict[str, float] = {}
-        self.lapsing: dict[str, float] = {}
+        self.lapses_at: dict[str, float] = {}
         self.changing: dict[str, float] = {}
         self.leaving: dict[str, float] = {}
         self.suspects: set[str] = set()
@@ -84,7 +84,7 @@
             self.restarted(old, replica.started_at)
             old = None
         self.replicas[replica.instance] = replica
-        self.lapsing.pop(replica.instance, None)
+        self.lapses_at.pop(replica.instance, None)
         if replica.draining:
             self.leaving.setdefault(replica.instance, time.monotonic())
         if old is not None and old.role != replica.role:
@@ -141,8 +141,8 @@
             return
         replica = self.replicas[instance]
         if grace > 0:
-            if instance not in self.lapsing:
-                self.lapsing[instance] = now + grace
+            if instance not in self.lapses_at:
+                self.lapses_at[instance] = now + grace
                 events.log(
                     events.REPLICA_LAPSED,
                     instance=instance,
@@ -162,7 +162,7 @@
         """Drops a replica and all that is believed of it."""
         instance = replica.instance
         del self.replicas[instance]
-        self.lapsing.pop(instance, None)
+        self.lapses_at.pop(instance, None)
         self.paused_until.pop(instance, None)
         self.changing.pop(instance, None)
         self.leaving.pop(instance, None)
@@ -178,13 +178,13 @@
 
     def expire(self, now: float) -> None:
         """Drops the entries whose grace is over."""
-        for instance, until in list(self.lapsing.items()):
+        for instance, until in list(self.lapses_at.items()):
             if now >= until:
                 self.drop(instance, 0.0, now)
 
     def known(self, service: str) -> list[types.Replica]:
         """All replicas of a service that are not leaving."""
-        if self.lapsing:
+        if self.lapses_at:
             # At once and not at the next look, which is up to a second later.
             self.expire(time.monotonic())
         found = []
