--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -56,7 +56,7 @@
         self.replicas: dict[str, types.Replica] = {}
         self.paused_until: dict[str, float] = {}
         self.lapses_at: dict[str, float] = {}
-        self.changing: dict[str, float] = {}
+        self.changing_until: dict[str, float] = {}
         self.leaving: dict[str, float] = {}
         self.suspects: set[str] = set()
         self.doubts: set[str] = set()
@@ -88,7 +88,7 @@
         if replica.draining:
             self.leaving.setdefault(replica.instance, time.monotonic())
         if old is not None and old.role != replica.role:
-            self.changing.pop(replica.instance, None)
+            self.changing_until.pop(replica.instance, None)
             self.paused_until.pop(replica.instance, None)
         if old is not None and old._replace(orders=0) == replica._replace(
             orders=0
@@ -164,7 +164,7 @@
         del self.replicas[instance]
         self.lapses_at.pop(instance, None)
         self.paused_until.pop(instance, None)
-        self.changing.pop(instance, None)
+        self.changing_until.pop(instance, None)
         self.leaving.pop(instance, None)
         self.confirmed.pop(instance, None)
         self.streams.forget(instance)
@@ -268,7 +268,7 @@
                 continue
             if replica.instance in avoid:
                 continue
-            if self.changing.get(replica.instance, -math.inf) > now:
+            if self.changing_until.get(replica.instance, -math.inf) > now:
                 continue
             if self.fine(replica.instance, now):
                 healthy.append(replica)
@@ -300,7 +300,7 @@
 
     def close(self, instance: str, until: float) -> None:
         """Sends an engine nothing more while it changes its role."""
-        self.changing[instance] = until
+        self.changing_until[instance] = until
 
     def heard(self, instance: str, now: float) -> None:
         """Notes a sign of life."""
@@ -402,7 +402,7 @@
     ) -> None:
         """Believes an engine's role before its entry shows it."""
         self.confirmed[instance] = (role, until)
-        self.changing.pop(instance, None)
+        self.changing_until.pop(instance, None)
         self.paused_until.pop(instance, None)
 
     def role(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -300,7 +300,7 @@
 
     def news(self, now: float) -> messages.News:
         """This node's own news, to be told once."""
-        self.outbox.keep_closed(self.directory.changing)
+        self.outbox.keep_closed(self.directory.changing_until)
         return self.outbox.take(now)
 
     def choose(self, now: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -136,7 +136,7 @@
             # An order that has not shown may never be carried out: its engine
             # may have crashed since.
             changing = pending is not None or (
-                self.directory.changing.get(replica.instance, 0.0) > now
+                self.directory.changing_until.get(replica.instance, 0.0) > now
             )
             views.append(
                 role_split.EngineView(
