--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -57,7 +57,7 @@
         self.paused_until: dict[str, float] = {}
         self.lapses_at: dict[str, float] = {}
         self.changing_until: dict[str, float] = {}
-        self.leaving: dict[str, float] = {}
+        self.draining_since: dict[str, float] = {}
         self.suspects: set[str] = set()
         self.doubts: set[str] = set()
         self.doubted = asyncio.Event()
@@ -86,7 +86,7 @@
         self.replicas[replica.instance] = replica
         self.lapses_at.pop(replica.instance, None)
         if replica.draining:
-            self.leaving.setdefault(replica.instance, time.monotonic())
+            self.draining_since.setdefault(replica.instance, time.monotonic())
         if old is not None and old.role != replica.role:
             self.changing_until.pop(replica.instance, None)
             self.paused_until.pop(replica.instance, None)
@@ -165,7 +165,7 @@
         self.lapses_at.pop(instance, None)
         self.paused_until.pop(instance, None)
         self.changing_until.pop(instance, None)
-        self.leaving.pop(instance, None)
+        self.draining_since.pop(instance, None)
         self.confirmed.pop(instance, None)
         self.streams.forget(instance)
         self.suspects.discard(instance)
@@ -288,7 +288,7 @@
     def just_leaving(self, service: str, now: float) -> list[types.Replica]:
         """Engines that generate and began to leave only a moment ago."""
         found = []
-        for instance, since in self.leaving.items():
+        for instance, since in self.draining_since.items():
             replica = self.replicas[instance]
             if replica.service != service or now - since > DRAINING_USE_SECONDS:
                 continue
