--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -59,7 +59,7 @@
         self.changing_until: dict[str, float] = {}
         self.draining_since: dict[str, float] = {}
         self.suspects: set[str] = set()
-        self.doubts: set[str] = set()
+        self.probe_requests: set[str] = set()
         self.doubted = asyncio.Event()
         self.looks: dict[str, tuple[float, float]] = {}
         self.unreached = []
@@ -169,7 +169,7 @@
         self.confirmed.pop(instance, None)
         self.streams.forget(instance)
         self.suspects.discard(instance)
-        self.doubts.discard(instance)
+        self.probe_requests.discard(instance)
         self.looks.pop(instance, None)
         self.health.forget(instance)
         self.silence.forget(instance)
@@ -365,7 +365,7 @@
     def doubt(self, instance: str) -> None:
         """Has a replica asked for a sign of life at the next look."""
         if instance in self.replicas:
-            self.doubts.add(instance)
+            self.probe_requests.add(instance)
             self.doubted.set()
 
     def refused(
@@ -384,8 +384,10 @@
 
         Those that gave none are asked less and less often.
         """
-        asked = self.doubts.union(self.silence.check(now)) - self.suspects
-        self.doubts.clear()
+        asked = (
+            self.probe_requests.union(self.silence.check(now)) - self.suspects
+        )
+        self.probe_requests.clear()
         self.doubted.clear()
         for instance in self.suspects:
             due, pause = self.looks.get(
