--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -60,7 +60,7 @@
         self.draining_since: dict[str, float] = {}
         self.suspects: set[str] = set()
         self.probe_requests: set[str] = set()
-        self.doubted = asyncio.Event()
+        self.probe_requested = asyncio.Event()
         self.looks: dict[str, tuple[float, float]] = {}
         self.unreached = []
         self.crashed: list[Callable[[types.Replica], None]] = []
@@ -366,7 +366,7 @@
         """Has a replica asked for a sign of life at the next look."""
         if instance in self.replicas:
             self.probe_requests.add(instance)
-            self.doubted.set()
+            self.probe_requested.set()
 
     def refused(
         self, instance: str, error: exceptions.EndpointRefused, now: float
@@ -388,7 +388,7 @@
             self.probe_requests.union(self.silence.check(now)) - self.suspects
         )
         self.probe_requests.clear()
-        self.doubted.clear()
+        self.probe_requested.clear()
         for instance in self.suspects:
             due, pause = self.looks.get(
                 instance, (now, FIRST_PROBE_INTERVAL_SECONDS)
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -35,7 +35,7 @@
             await asyncio.sleep(SOONEST_LOOK)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LOOK):
-                    await self.directory.doubted.wait()
+                    await self.directory.probe_requested.wait()
             asked = self.directory.to_ask(time.monotonic())
             async with asyncio.TaskGroup() as group:
                 for instance in asked:
