--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -61,7 +61,7 @@
         self.suspects: set[str] = set()
         self.probe_requests: set[str] = set()
         self.probe_requested = asyncio.Event()
-        self.looks: dict[str, tuple[float, float]] = {}
+        self.next_probes: dict[str, tuple[float, float]] = {}
         self.unreached = []
         self.crashed: list[Callable[[types.Replica], None]] = []
         self.alive: list[Callable[[str], None]] = []
@@ -170,7 +170,7 @@
         self.streams.forget(instance)
         self.suspects.discard(instance)
         self.probe_requests.discard(instance)
-        self.looks.pop(instance, None)
+        self.next_probes.pop(instance, None)
         self.health.forget(instance)
         self.silence.forget(instance)
         for listener in self.gone:
@@ -307,7 +307,7 @@
         self.silence.received(instance, now)
         if instance in self.suspects:
             self.suspects.discard(instance)
-            self.looks.pop(instance, None)
+            self.next_probes.pop(instance, None)
             events.log(events.REPLICA_HEARD, instance=instance)
 
     def suspect(self, instance: str, now: float) -> None:
@@ -390,13 +390,13 @@
         self.probe_requests.clear()
         self.probe_requested.clear()
         for instance in self.suspects:
-            due, pause = self.looks.get(
+            due, pause = self.next_probes.get(
                 instance, (now, FIRST_PROBE_INTERVAL_SECONDS)
             )
             if now >= due:
                 asked.add(instance)
                 longer = min(2 * pause, MAX_PROBE_INTERVAL_SECONDS)
-                self.looks[instance] = (now + pause, longer)
+                self.next_probes[instance] = (now + pause, longer)
         return asked
 
     def confirm(
