--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -62,7 +62,7 @@
         self.probe_requests: set[str] = set()
         self.probe_requested = asyncio.Event()
         self.next_probes: dict[str, tuple[float, float]] = {}
-        self.unreached = []
+        self.unreachable_listeners = []
         self.crashed: list[Callable[[types.Replica], None]] = []
         self.alive: list[Callable[[str], None]] = []
         self.confirmed: dict[str, tuple[decision_types.Role, float]] = {}
@@ -357,7 +357,7 @@
         self.health.failed(instance, silent and not refused, now)
         if isinstance(error, exceptions.EndpointUnreachable):
             self.doubt(instance)
-            for listener in self.unreached:
+            for listener in self.unreachable_listeners:
                 listener(instance)
         elif isinstance(error, exceptions.AnswerBroken):
             self.doubt(instance)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -141,7 +141,7 @@
         self.changed = asyncio.Event()
         self.urgent = asyncio.Event()
         homes.listener = self
-        directory.unreached.append(self.not_reached)
+        directory.unreachable_listeners.append(self.not_reached)
         directory.gone.append(self.forget)
 
     def hears(self, member: members_module.Member) -> bool:
