--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -63,7 +63,7 @@
         self.probe_requested = asyncio.Event()
         self.next_probes: dict[str, tuple[float, float]] = {}
         self.unreachable_listeners = []
-        self.crashed: list[Callable[[types.Replica], None]] = []
+        self.crash_listeners: list[Callable[[types.Replica], None]] = []
         self.alive: list[Callable[[str], None]] = []
         self.confirmed: dict[str, tuple[decision_types.Role, float]] = {}
         self.silence = silence_module.SilenceDetector()
@@ -131,7 +131,7 @@
             before=replica.started_at,
             born=born,
         )
-        for listener in self.crashed:
+        for listener in self.crash_listeners:
             listener(replica)
         self.forget(replica)
 
@@ -329,7 +329,7 @@
         replica = self.replicas.get(instance)
         if replica is None:
             return
-        for listener in self.crashed:
+        for listener in self.crash_listeners:
             listener(replica)
 
     def answered(self, instance: str) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -67,7 +67,7 @@
         self.undecided: dict[str, list[Run]] = {}
         self.crash_listeners: list[Callable[[Crash], None]] = []
         self.survival_listeners: list[Callable[[list[Run]], None]] = []
-        directory.crashed.append(self.record_crash)
+        directory.crash_listeners.append(self.record_crash)
         directory.gone.append(self.record_crash)
         directory.alive.append(self.record_alive)
 
