--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -64,7 +64,7 @@
         self.next_probes: dict[str, tuple[float, float]] = {}
         self.unreachable_listeners = []
         self.crash_listeners: list[Callable[[types.Replica], None]] = []
-        self.alive: list[Callable[[str], None]] = []
+        self.alive_listeners: list[Callable[[str], None]] = []
         self.confirmed: dict[str, tuple[decision_types.Role, float]] = {}
         self.silence = silence_module.SilenceDetector()
         self.streams = cluster_totals.ClusterTotals()
@@ -334,7 +334,7 @@
 
     def answered(self, instance: str) -> None:
         """Notes that a replica has answered a new call."""
-        for listener in self.alive:
+        for listener in self.alive_listeners:
             listener(instance)
 
     def failed(
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -69,7 +69,7 @@
         self.survival_listeners: list[Callable[[list[Run]], None]] = []
         directory.crash_listeners.append(self.record_crash)
         directory.gone.append(self.record_crash)
-        directory.alive.append(self.record_alive)
+        directory.alive_listeners.append(self.record_alive)
 
     def add(self, run: Run) -> bool:
         """Takes in a run whose answer broke off.
