--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -125,7 +125,7 @@
         context.gossip,
         context.homes,
     )
-    context.directory.gone.append(
+    context.directory.removal_listeners.append(
         lambda replica: context.homes.forget(replica.instance)
     )
     context.registrations = registrations_module.Registrations(
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -70,7 +70,7 @@
         self.streams = cluster_totals.ClusterTotals()
         self.generating: dict[str, float] = {}
         self.health = health.Health(rng)
-        self.gone = []
+        self.removal_listeners = []
         self.births = incarnations_module.Incarnations()
 
     def put(self, replica: types.Replica) -> None:
@@ -173,7 +173,7 @@
         self.next_probes.pop(instance, None)
         self.health.forget(instance)
         self.silence.forget(instance)
-        for listener in self.gone:
+        for listener in self.removal_listeners:
             listener(replica)
 
     def expire(self, now: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -183,7 +183,7 @@
             self.knowledge.registered
         )
         self.leadership.offers = self.gossip.may_lead
-        self.directory.gone.append(self.forget)
+        self.directory.removal_listeners.append(self.forget)
         self.runners: list[web.ServerRunner] = []
 
     def make_watches(self) -> dict[str, watching.Watch]:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -142,7 +142,7 @@
         self.urgent = asyncio.Event()
         homes.listener = self
         directory.unreachable_listeners.append(self.not_reached)
-        directory.gone.append(self.forget)
+        directory.removal_listeners.append(self.forget)
 
     def hears(self, member: members_module.Member) -> bool:
         """Whether this node would hear another one, if that ran.
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -80,7 +80,7 @@
         self.pending: dict[str, Pending] = {}
         self.splits: dict[str, role_split.RoleSplit] = {}
         self.tasks: set[asyncio.Task] = set()
-        directory.gone.append(self.forget)
+        directory.removal_listeners.append(self.forget)
 
     def forget(self, replica: types.Replica) -> None:
         """Drops an order to an engine that is gone or has started again."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -68,7 +68,7 @@
         self.crash_listeners: list[Callable[[Crash], None]] = []
         self.survival_listeners: list[Callable[[list[Run]], None]] = []
         directory.crash_listeners.append(self.record_crash)
-        directory.gone.append(self.record_crash)
+        directory.removal_listeners.append(self.record_crash)
         directory.alive_listeners.append(self.record_alive)
 
     def add(self, run: Run) -> bool:
