--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -65,7 +65,7 @@
         self.unreachable_listeners = []
         self.crash_listeners: list[Callable[[types.Replica], None]] = []
         self.alive_listeners: list[Callable[[str], None]] = []
-        self.confirmed: dict[str, tuple[decision_types.Role, float]] = {}
+        self.confirmed_roles: dict[str, tuple[decision_types.Role, float]] = {}
         self.silence = silence_module.SilenceDetector()
         self.streams = cluster_totals.ClusterTotals()
         self.generating: dict[str, float] = {}
@@ -166,7 +166,7 @@
         self.paused_until.pop(instance, None)
         self.changing_until.pop(instance, None)
         self.draining_since.pop(instance, None)
-        self.confirmed.pop(instance, None)
+        self.confirmed_roles.pop(instance, None)
         self.streams.forget(instance)
         self.suspects.discard(instance)
         self.probe_requests.discard(instance)
@@ -403,7 +403,7 @@
         self, instance: str, role: decision_types.Role, until: float
     ) -> None:
         """Believes an engine's role before its entry shows it."""
-        self.confirmed[instance] = (role, until)
+        self.confirmed_roles[instance] = (role, until)
         self.changing_until.pop(instance, None)
         self.paused_until.pop(instance, None)
 
@@ -411,7 +411,7 @@
         self, replica: types.Replica, now: float
     ) -> decision_types.Role | None:
         """What an engine does, by what is known best."""
-        role, until = self.confirmed.get(replica.instance, (None, 0.0))
+        role, until = self.confirmed_roles.get(replica.instance, (None, 0.0))
         if role is not None and now < until:
             return role
         return replica.role
