--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -68,7 +68,7 @@
         self.confirmed_roles: dict[str, tuple[decision_types.Role, float]] = {}
         self.silence = silence_module.SilenceDetector()
         self.streams = cluster_totals.ClusterTotals()
-        self.generating: dict[str, float] = {}
+        self.decode_available_at: dict[str, float] = {}
         self.health = health.Health(rng)
         self.removal_listeners = []
         self.births = incarnations_module.Incarnations()
@@ -278,7 +278,7 @@
         if not found and not prefill:
             found = self.just_leaving(service, now)
         if found and not prefill:
-            self.generating[service] = now
+            self.decode_available_at[service] = now
         return found
 
     def reads(self, replica: types.Replica, now: float) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -196,7 +196,9 @@
             now = time.monotonic()
             if self.directory.engines(service.name, False, now):
                 return
-            since = self.directory.generating.setdefault(service.name, now)
+            since = self.directory.decode_available_at.setdefault(
+                service.name, now
+            )
             age = now - progress.call.arrival
             verdict = outages.decide(
                 since,
