--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -165,7 +165,7 @@
                 reason=repr(error),
             )
             return
-        if not self.directory.births.observe(
+        if not self.directory.incarnations.observe(
             replica.instance, found.started_at
         ):
             return
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -71,11 +71,11 @@
         self.decode_available_at: dict[str, float] = {}
         self.health = health.Health(rng)
         self.removal_listeners = []
-        self.births = incarnations_module.Incarnations()
+        self.incarnations = incarnations_module.Incarnations()
 
     def put(self, replica: types.Replica) -> None:
         """Takes a registration in; a late one of an earlier start is none."""
-        if not self.births.observe(replica.instance, replica.started_at):
+        if not self.incarnations.observe(replica.instance, replica.started_at):
             return
         old = self.replicas.get(replica.instance)
         if old is not None and incarnations_module.is_later_start(
@@ -109,7 +109,7 @@
         Returns:
             Whether what it says beside is of its newest start.
         """
-        if not self.births.observe(instance, state.started_at):
+        if not self.incarnations.observe(instance, state.started_at):
             return False
         replica = self.replicas.get(instance)
         if replica is None or not incarnations_module.is_later_start(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -43,7 +43,7 @@
         if engine not in self.directory.replicas:
             return False
         born = news.births.get(engine, 0)
-        return self.directory.births.observe(engine, born)
+        return self.directory.incarnations.observe(engine, born)
 
     def believe(self, engine: str, role: str, until: float) -> None:
         """Takes an engine's new role in as a peer says it."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -231,7 +231,7 @@
 
     def born(self, engine: str) -> int:
         """The newest known start of an engine; 0 if it does not say."""
-        return self.directory.births.known_starts([engine]).get(engine, 0)
+        return self.directory.incarnations.known_starts([engine]).get(engine, 0)
 
     async def run(self) -> None:
         """Sends reports for as long as the node runs."""
