--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -103,7 +103,7 @@
             role=replica.role,
         )
 
-    def said(self, instance: str, state: types.State) -> bool:
+    def receive_state(self, instance: str, state: types.State) -> bool:
         """Takes in when a replica says that it has started.
 
         Returns:
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -59,6 +59,6 @@
         except (exceptions.EndpointError, TimeoutError):
             self.directory.suspect(instance, time.monotonic())
         else:
-            self.directory.said(instance, state)
+            self.directory.receive_state(instance, state)
             self.directory.answered(instance)
             self.directory.heard(instance, time.monotonic())
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -181,7 +181,7 @@
         try:
             async with asyncio.timeout(CALL_LIMIT):
                 state = await self.endpoints.state(replica)
-                current = self.directory.said(change.engine, state)
+                current = self.directory.receive_state(change.engine, state)
                 token = self.leadership.token(time.monotonic())
                 done = state.busy or state.role == change.role
                 if token is None or done or not current:
@@ -276,7 +276,7 @@
                 state.started_at, replica.started_at
             ):
                 # It has started again and knows of no order.
-                self.directory.said(replica.instance, state)
+                self.directory.receive_state(replica.instance, state)
                 return
             if state.role != role or state.busy:
                 # It lets running streams end first, for 7 s and more.
