--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -81,7 +81,7 @@
         if old is not None and incarnations_module.is_later_start(
             replica.started_at, old.started_at
         ):
-            self.restarted(old, replica.started_at)
+            self.replica_restarted(old, replica.started_at)
             old = None
         self.replicas[replica.instance] = replica
         self.lapses_at.pop(replica.instance, None)
@@ -116,13 +116,13 @@
             state.started_at, replica.started_at
         ):
             return True
-        self.restarted(replica, state.started_at)
+        self.replica_restarted(replica, state.started_at)
         self.replicas[instance] = replica._replace(
             started_at=state.started_at, role=state.role, orders=state.orders
         )
         return True
 
-    def restarted(self, replica: types.Replica, born: int) -> None:
+    def replica_restarted(self, replica: types.Replica, born: int) -> None:
         """Forgets all that was believed of a replica's earlier start."""
         events.log(
             events.REPLICA_RESTARTED,
