--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -193,7 +193,7 @@
                 found.append(replica)
         return found
 
-    def working(self, service: str) -> list[types.Replica]:
+    def responsive(self, service: str) -> list[types.Replica]:
         """The replicas of a service that are not leaving and not silent."""
         found = []
         for replica in self.known(service):
@@ -263,7 +263,7 @@
         """
         healthy = []
         unhealthy = []
-        for replica in self.working(service):
+        for replica in self.responsive(service):
             if self.reads(replica, now) != prefill:
                 continue
             if replica.instance in avoid:
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -124,7 +124,7 @@
         """Orders what the plan of one service asks for."""
         views = []
         now = time.monotonic()
-        for replica in self.directory.working(service.name):
+        for replica in self.directory.responsive(service.name):
             if replica.role is None:
                 continue
             pending = self.pending.get(replica.instance)
