--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -228,7 +228,7 @@
                 unhealthy.append(replica)
         return healthy or unhealthy
 
-    def usable(self, instance: str) -> bool:
+    def is_usable(self, instance: str) -> bool:
         """Whether a replica is known, stays, and is not silent."""
         replica = self.replicas.get(instance)
         if replica is None or replica.draining:
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -184,7 +184,7 @@
             now = time.monotonic()
             self.admit(progress)
             alone = not self.canaries.is_running_elsewhere(fingerprint, now)
-            alone = alone and self.runs.directory.usable(replica.instance)
+            alone = alone and self.runs.directory.is_usable(replica.instance)
         finally:
             if not alone:
                 self.canaries.end(fingerprint, time.monotonic())
