--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -222,7 +222,7 @@
         for replica in self.known(service):
             if replica.instance in avoid:
                 continue
-            if self.fine(replica.instance, now):
+            if self.is_healthy(replica.instance, now):
                 healthy.append(replica)
             else:
                 unhealthy.append(replica)
@@ -235,7 +235,7 @@
             return False
         return instance not in self.suspects
 
-    def fine(self, instance: str, now: float) -> bool:
+    def is_healthy(self, instance: str, now: float) -> bool:
         """Whether nothing speaks against sending work to a replica."""
         if instance in self.suspects:
             return False
@@ -270,7 +270,7 @@
                 continue
             if self.changing_until.get(replica.instance, -math.inf) > now:
                 continue
-            if self.fine(replica.instance, now):
+            if self.is_healthy(replica.instance, now):
                 healthy.append(replica)
             else:
                 unhealthy.append(replica)
