--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -264,7 +264,7 @@
         healthy = []
         unhealthy = []
         for replica in self.responsive(service):
-            if self.reads(replica, now) != prefill:
+            if self.is_prefill(replica, now) != prefill:
                 continue
             if replica.instance in avoid:
                 continue
@@ -281,7 +281,7 @@
             self.decode_available_at[service] = now
         return found
 
-    def reads(self, replica: types.Replica, now: float) -> bool:
+    def is_prefill(self, replica: types.Replica, now: float) -> bool:
         """Whether an engine reads prompts for others."""
         return self.role(replica, now) == decision_types.Role.PREFILL
 
@@ -292,7 +292,7 @@
             replica = self.replicas[instance]
             if replica.service != service or now - since > DRAINING_USE_SECONDS:
                 continue
-            if self.reads(replica, now):
+            if self.is_prefill(replica, now):
                 continue
             if instance not in self.suspects:
                 found.append(replica)
