--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -276,7 +276,7 @@
                 unhealthy.append(replica)
         found = healthy or unhealthy
         if not found and not prefill:
-            found = self.just_leaving(service, now)
+            found = self.recently_draining(service, now)
         if found and not prefill:
             self.decode_available_at[service] = now
         return found
@@ -285,7 +285,9 @@
         """Whether an engine reads prompts for others."""
         return self.role(replica, now) == decision_types.Role.PREFILL
 
-    def just_leaving(self, service: str, now: float) -> list[types.Replica]:
+    def recently_draining(
+        self, service: str, now: float
+    ) -> list[types.Replica]:
         """Engines that generate and began to leave only a moment ago."""
         found = []
         for instance, since in self.draining_since.items():
