--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -300,7 +300,7 @@
                 found.append(replica)
         return found
 
-    def close(self, instance: str, until: float) -> None:
+    def close_until(self, instance: str, until: float) -> None:
         """Sends an engine nothing more while it changes its role."""
         self.changing_until[instance] = until
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -26,7 +26,7 @@
         """Takes in what happened elsewhere."""
         for engine, seconds in news.closed.items():
             if self.of_newest_start(engine, news):
-                self.directory.close(engine, now + seconds)
+                self.directory.close_until(engine, now + seconds)
         for engine, (role, seconds) in news.roles.items():
             if self.of_newest_start(engine, news):
                 self.believe(engine, role, now + seconds)
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -194,7 +194,7 @@
                 await asyncio.sleep(HEADS_UP)
                 token = self.leadership.token(time.monotonic())
                 if token is None:
-                    self.directory.close(change.engine, time.monotonic())
+                    self.directory.close_until(change.engine, time.monotonic())
                     return
                 order = types.Order(
                     change.role, self.leadership.member, token, state.orders
@@ -233,7 +233,7 @@
         The other nodes learn of it by the next datagram and send nothing
         there that the engine would have to refuse.
         """
-        self.directory.close(instance, time.monotonic() + seconds)
+        self.directory.close_until(instance, time.monotonic() + seconds)
         self.gossip.closed(instance, seconds)
 
     def follow(
