--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -304,7 +304,7 @@
         """Sends an engine nothing more while it changes its role."""
         self.changing_until[instance] = until
 
-    def heard(self, instance: str, now: float) -> None:
+    def record_activity(self, instance: str, now: float) -> None:
         """Notes a sign of life."""
         self.silence.received(instance, now)
         if instance in self.suspects:
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -52,7 +52,9 @@
 
     def bytes_received(self) -> None:
         """Bytes came."""
-        self.directory.heard(self.run.replica.instance, time.monotonic())
+        self.directory.record_activity(
+            self.run.replica.instance, time.monotonic()
+        )
 
     def output_forwarded(self) -> None:
         """An event went to the caller."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -55,10 +55,10 @@
             self.directory.suspect(instance, time.monotonic())
         except (exceptions.EndpointRefused, exceptions.RecordInvalid):
             self.directory.answered(instance)
-            self.directory.heard(instance, time.monotonic())
+            self.directory.record_activity(instance, time.monotonic())
         except (exceptions.EndpointError, TimeoutError):
             self.directory.suspect(instance, time.monotonic())
         else:
             self.directory.receive_state(instance, state)
             self.directory.answered(instance)
-            self.directory.heard(instance, time.monotonic())
+            self.directory.record_activity(instance, time.monotonic())
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -171,7 +171,7 @@
             answer.close()
         check_answer(answer)
         now = time.monotonic()
-        self.directory.heard(replica.instance, now)
+        self.directory.record_activity(replica.instance, now)
         if answer.status < 500:
             self.directory.health.succeeded(replica.instance, now)
         else:
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -170,7 +170,7 @@
             self.prefix_router.dropped(choice)
             raise
         now = time.monotonic()
-        self.directory.heard(choice.engine, now)
+        self.directory.record_activity(choice.engine, now)
         self.directory.health.succeeded(choice.engine, now)
         self.prefix_router.done(choice, now - sent, now)
         return handle
