--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -334,7 +334,7 @@
         for listener in self.crash_listeners:
             listener(replica)
 
-    def answered(self, instance: str) -> None:
+    def replica_answered(self, instance: str) -> None:
         """Notes that a replica has answered a new call."""
         for listener in self.alive_listeners:
             listener(instance)
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -54,11 +54,11 @@
             self.directory.process_ended(instance)
             self.directory.suspect(instance, time.monotonic())
         except (exceptions.EndpointRefused, exceptions.RecordInvalid):
-            self.directory.answered(instance)
+            self.directory.replica_answered(instance)
             self.directory.record_activity(instance, time.monotonic())
         except (exceptions.EndpointError, TimeoutError):
             self.directory.suspect(instance, time.monotonic())
         else:
             self.directory.receive_state(instance, state)
-            self.directory.answered(instance)
+            self.directory.replica_answered(instance)
             self.directory.record_activity(instance, time.monotonic())
