--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -339,7 +339,7 @@
         for listener in self.alive_listeners:
             listener(instance)
 
-    def failed(
+    def request_failed(
         self, instance: str, error: Exception | None, now: float
     ) -> None:
         """Judges a replica by one failure.
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -296,7 +296,9 @@
         except exceptions.AnswerBroken as error:
             progress.record_failure(replica, str(error))
             self.quarantine.record_interruption(run)
-            self.directory.failed(replica.instance, error, time.monotonic())
+            self.directory.request_failed(
+                replica.instance, error, time.monotonic()
+            )
             self.prefills.release_handle(progress)
             raise
         finally:
@@ -315,7 +317,7 @@
         if isinstance(error, exceptions.EndpointRefused):
             self.directory.refused(replica.instance, error, now)
             return
-        self.directory.failed(replica.instance, error, now)
+        self.directory.request_failed(replica.instance, error, now)
 
     async def exchange(
         self,
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -154,7 +154,7 @@
     ) -> None:
         """Notes a replica's failure."""
         progress.record_failure(replica, reason)
-        self.directory.failed(replica.instance, error, time.monotonic())
+        self.directory.request_failed(replica.instance, error, time.monotonic())
 
     async def exchange(
         self, replica: types.Replica, progress: progress_module.Progress
@@ -176,7 +176,7 @@
             self.directory.health.succeeded(replica.instance, now)
         else:
             progress.avoid |= {replica.instance}
-            self.directory.failed(replica.instance, None, now)
+            self.directory.request_failed(replica.instance, None, now)
         return answer.status, answer.reason, answer.fields, body
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -191,7 +191,9 @@
         try:
             return await self.wait_for_prefill(prefill, choice)
         except TimeoutError as error:
-            self.directory.failed(replica.instance, error, time.monotonic())
+            self.directory.request_failed(
+                replica.instance, error, time.monotonic()
+            )
             raise exceptions.EndpointNotStarted(
                 "the engine is silent"
             ) from error
@@ -205,7 +207,9 @@
                         progress.fingerprint, replica, is_prefill=True
                     )
                 )
-            self.directory.failed(replica.instance, error, time.monotonic())
+            self.directory.request_failed(
+                replica.instance, error, time.monotonic()
+            )
             raise exceptions.EndpointNotStarted(str(error)) from error
 
     async def wait_for_prefill(
