--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -358,13 +358,13 @@
         silent = isinstance(error, exceptions.EndpointNotStarted | TimeoutError)
         self.health.failed(instance, silent and not refused, now)
         if isinstance(error, exceptions.EndpointUnreachable):
-            self.doubt(instance)
+            self.request_probe(instance)
             for listener in self.unreachable_listeners:
                 listener(instance)
         elif isinstance(error, exceptions.AnswerBroken):
-            self.doubt(instance)
+            self.request_probe(instance)
 
-    def doubt(self, instance: str) -> None:
+    def request_probe(self, instance: str) -> None:
         """Has a replica asked for a sign of life at the next look."""
         if instance in self.replicas:
             self.probe_requests.add(instance)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -32,7 +32,7 @@
                 self.believe(engine, role, now + seconds)
         for instance in news.unreachable:
             if instance not in self.directory.suspects:
-                self.directory.doubt(instance)
+                self.directory.request_probe(instance)
         for placed in news.placed:
             self.homes.add_remote_prompt(
                 placed.engine, placed.links, placed.tokens
