--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -370,7 +370,7 @@
             self.probe_requests.add(instance)
             self.probe_requested.set()
 
-    def refused(
+    def request_refused(
         self, instance: str, error: exceptions.EndpointRefused, now: float
     ) -> None:
         """Sends a replica that refused a request nothing more for a while."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -315,7 +315,7 @@
         """Judges an engine that did not take a request."""
         now = time.monotonic()
         if isinstance(error, exceptions.EndpointRefused):
-            self.directory.refused(replica.instance, error, now)
+            self.directory.request_refused(replica.instance, error, now)
             return
         self.directory.request_failed(replica.instance, error, now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -135,7 +135,7 @@
             self.record_failure(replica, progress, str(error), error)
             if isinstance(error, exceptions.EndpointRefused):
                 now = time.monotonic()
-                self.directory.refused(replica.instance, error, now)
+                self.directory.request_refused(replica.instance, error, now)
             raise
         except exceptions.AnswerBroken as error:
             self.quarantine.record_interruption(run)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -198,7 +198,9 @@
                 "the engine is silent"
             ) from error
         except exceptions.EndpointRefused as error:
-            self.directory.refused(replica.instance, error, time.monotonic())
+            self.directory.request_refused(
+                replica.instance, error, time.monotonic()
+            )
             raise
         except exceptions.EndpointError as error:
             if isinstance(error, exceptions.AnswerBroken):
