--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -381,7 +381,7 @@
             MISTAKEN_PAUSE_SECONDS if mistaken else REFUSAL_PAUSE_SECONDS,
         )
 
-    def to_ask(self, now: float) -> set[str]:
+    def due_probes(self, now: float) -> set[str]:
         """The replicas that are to give a sign of life.
 
         Those that gave none are asked less and less often.
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -36,7 +36,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(LOOK):
                     await self.directory.probe_requested.wait()
-            asked = self.directory.to_ask(time.monotonic())
+            asked = self.directory.due_probes(time.monotonic())
             async with asyncio.TaskGroup() as group:
                 for instance in asked:
                     group.create_task(self.ask(instance))
