--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -401,7 +401,7 @@
                 self.next_probes[instance] = (now + pause, longer)
         return asked
 
-    def confirm(
+    def confirm_role(
         self, instance: str, role: decision_types.Role, until: float
     ) -> None:
         """Believes an engine's role before its entry shows it."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -52,4 +52,4 @@
         except ValueError as error:
             events.log(events.FRAME_REFUSED, reason=str(error))
             return
-        self.directory.confirm(engine, found, until)
+        self.directory.confirm_role(engine, found, until)
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -283,6 +283,6 @@
                 self.close(replica.instance, CLOSED)
                 continue
             until = time.monotonic() + BELIEVED
-            self.directory.confirm(replica.instance, role, until)
+            self.directory.confirm_role(replica.instance, role, until)
             self.gossip.changed_role(replica.instance, role, BELIEVED)
             return
