--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -439,7 +439,7 @@
                 best, best_key = replica, key
         return best
 
-    def emptiest(
+    def least_loaded(
         self,
         engines: list[types.Replica],
         data_centre: str,
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -241,7 +241,9 @@
         found = self.directory.engines(service.name, False, now, progress.avoid)
         # One broken stream does not make the only engine useless.
         found = found or self.directory.engines(service.name, False, now)
-        return self.directory.emptiest(found, near, self.endpoints.is_connected)
+        return self.directory.least_loaded(
+            found, near, self.endpoints.is_connected
+        )
 
     async def run(
         self,
