--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -469,7 +469,7 @@
         """Sends a replica nothing more for a moment while there are others."""
         self.paused_until[instance] = now + seconds
 
-    def started(self, instance: str, now: float) -> None:
+    def request_started(self, instance: str, now: float) -> None:
         """Counts a request that is sent to a replica."""
         self.silence.started(instance, now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -275,7 +275,7 @@
             last_event=stream.last_event,
         )
         share = stream_share(replica, service, progress.call)
-        self.directory.started(replica.instance, time.monotonic())
+        self.directory.request_started(replica.instance, time.monotonic())
         self.directory.streams.add(replica.instance, share)
         self.prefix_router.notify_load_change()
         progress.record_sent(
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -118,7 +118,7 @@
         limit = None
         if route.repeatable and progress.runs + 1 < route.attempts:
             limit = ATTEMPT_TIMEOUT_FACTOR * route.objective
-        self.directory.started(replica.instance, time.monotonic())
+        self.directory.request_started(replica.instance, time.monotonic())
         progress.record_sent(replica, route=route.name)
         run = runs_module.Run(progress.fingerprint, replica, is_prefill=False)
         self.quarantine.record_start(run)
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -231,7 +231,7 @@
             PREFILL_TIMEOUT_FACTOR * choice.prefill_seconds,
         )
         started = time.monotonic()
-        self.directory.started(choice.engine, started)
+        self.directory.request_started(choice.engine, started)
         task = asyncio.ensure_future(prefill)
         try:
             while True:
