--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -473,6 +473,6 @@
         """Counts a request that is sent to a replica."""
         self.silence.started(instance, now)
 
-    def ended(self, instance: str) -> None:
+    def request_ended(self, instance: str) -> None:
         """Counts the end of such a request."""
         self.silence.ended(instance)
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -305,7 +305,7 @@
             raise
         finally:
             self.quarantine.end_canary(run)
-            self.directory.ended(replica.instance)
+            self.directory.request_ended(replica.instance)
             self.directory.streams.remove(replica.instance, share)
             self.prefix_router.notify_load_change()
         progress.handle = None
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -143,7 +143,7 @@
             raise
         finally:
             self.quarantine.end_canary(run)
-            self.directory.ended(replica.instance)
+            self.directory.request_ended(replica.instance)
 
     def record_failure(
         self,
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -248,7 +248,7 @@
                 if done:
                     return task.result()
         finally:
-            self.directory.ended(choice.engine)
+            self.directory.request_ended(choice.engine)
             task.cancel()
 
     def discard_lost_handle(
