--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -213,7 +213,7 @@
                 self.store_state,
                 names.NODES_TOPIC,
                 self.gossip.entries,
-                lambda: watching.REREAD,
+                lambda: watching.REREAD_SECONDS,
                 lambda: self.limits.wait,
             ),
         }
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -16,7 +16,7 @@
 from gypsumfold.platform import store as store_module
 
 # Seconds until all keys are read again, in case a record was missed.
-REREAD = 20.0
+REREAD_SECONDS = 20.0
 # Seconds between two looks of a node that follows a relay, whether it is to
 # read the store itself: a tenth of the time within which it must have read.
 LOOK = 0.2
@@ -198,7 +198,7 @@
         """Reads once: the newest records, or those that came since."""
         alone = not self.reads()
         now = clocks.now()
-        if self.doubted or now - self.whole_at > REREAD:
+        if self.doubted or now - self.whole_at > REREAD_SECONDS:
             await self.read_newest()
         else:
             await self.read_on()
