--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -19,7 +19,7 @@
 REREAD_SECONDS = 20.0
 # Seconds between two looks of a node that follows a relay, whether it is to
 # read the store itself: a tenth of the time within which it must have read.
-LOOK = 0.2
+CHECK_INTERVAL_SECONDS = 0.2
 # Seconds of age beyond which it does not matter how old something is: where
 # nothing was ever read the age is infinite, which JSON does not have.
 MOST_AGE = 1e5
@@ -190,7 +190,9 @@
     async def idle(self) -> None:
         """Waits until it is time to look again whether to read."""
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(LOOK * random.uniform(0.5, 1.0)):
+            async with asyncio.timeout(
+                CHECK_INTERVAL_SECONDS * random.uniform(0.5, 1.0)
+            ):
                 await self.wake.wait()
         self.wake.clear()
 
