--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -75,7 +75,9 @@
         if doubtful and not self.doubting:
             events.log(
                 events.KNOWLEDGE_DOUBTED,
-                age=round(min(watch.following.age(now), watching.MOST_AGE), 3),
+                age=round(
+                    min(watch.following.age(now), watching.MAX_AGE_SECONDS), 3
+                ),
                 differs=watch.following.differing_since is not None,
             )
         self.doubting = doubtful
@@ -257,4 +259,4 @@
 ) -> float:
     """The age of what is known, as it is sent."""
     known_at = known.read_at if between else known.known_at
-    return round(min(now - known_at, watching.MOST_AGE), 3)
+    return round(min(now - known_at, watching.MAX_AGE_SECONDS), 3)
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -22,7 +22,7 @@
 CHECK_INTERVAL_SECONDS = 0.2
 # Seconds of age beyond which it does not matter how old something is: where
 # nothing was ever read the age is infinite, which JSON does not have.
-MOST_AGE = 1e5
+MAX_AGE_SECONDS = 1e5
 
 
 class StoreState:
@@ -274,4 +274,4 @@
     known: topic_staleness_module.TopicStaleness, now: float
 ) -> float:
     """The age of what is known, for a log line."""
-    return round(min(known.age(now), MOST_AGE), 3)
+    return round(min(known.age(now), MAX_AGE_SECONDS), 3)
