--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -56,13 +56,13 @@
         if seconds is not None:
             events.log(events.STORE_REGAINED, seconds=round(seconds, 3))
 
-    def vouch(self, own: bool) -> None:
+    def vouch(self, first_hand: bool) -> None:
         """Notes that another node says that the store was there all along.
 
         Args:
             own: Whether it knows that by its own calls.
         """
-        self.contact.confirm(own, clocks.now())
+        self.contact.confirm(first_hand, clocks.now())
 
     def shared_grace(self, between: bool) -> float:
         """Seconds for which a missing entry is believed, as sent to others.
