--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -153,7 +153,7 @@
                 )
             )
         if knowledge.grace <= 0:
-            self.registrations.state.vouch(between)
+            self.registrations.state.confirm_relayed(between)
         self.registrations.merge(changes, knowledge.grace)
         if self.registrations.registry.digest == knowledge.digest:
             watch.trust(knowledge.end, now - knowledge.age)
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -56,7 +56,7 @@
         if seconds is not None:
             events.log(events.STORE_REGAINED, seconds=round(seconds, 3))
 
-    def vouch(self, first_hand: bool) -> None:
+    def confirm_relayed(self, first_hand: bool) -> None:
         """Notes that another node says that the store was there all along.
 
         Args:
