--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -105,7 +105,7 @@
                 GROUP, self.member, TOPIC, self.life, self.generation
             )
         except exceptions.PlatformError as error:
-            self.state.failed(error, asked)
+            self.state.call_failed(error, asked)
             return
         self.state.answered()
         self.joined = True
@@ -129,4 +129,4 @@
             await self.store.leave(GROUP, self.member)
         except exceptions.PlatformError as error:
             # The membership lapses by itself.
-            self.state.failed(error, asked)
+            self.state.call_failed(error, asked)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -192,7 +192,7 @@
         try:
             page = await self.store.newest(names.NODES_TOPIC)
         except exceptions.PlatformError as error:
-            self.leadership.state.failed(error, asked)
+            self.leadership.state.call_failed(error, asked)
             return False
         self.replace(page.records)
         return True
@@ -228,7 +228,7 @@
         try:
             await self.store.put(names.NODES_TOPIC, node, value)
         except exceptions.PlatformError as error:
-            self.leadership.state.failed(error, asked)
+            self.leadership.state.call_failed(error, asked)
             return False
         return True
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -35,7 +35,9 @@
     def __init__(self, bound: float):
         self.contact = contact_module.Contact(bound, clocks.now())
 
-    def failed(self, error: exceptions.PlatformError, asked: float) -> None:
+    def call_failed(
+        self, error: exceptions.PlatformError, asked: float
+    ) -> None:
         """Notes a call that failed.
 
         A kept connection that is lost says nothing of the store: the next
@@ -153,7 +155,7 @@
             except exceptions.ReadOverdue as error:
                 self.failed(error)
             except exceptions.PlatformError as error:
-                self.state.failed(error, self.asked)
+                self.state.call_failed(error, self.asked)
                 self.failures += 1
                 took = self.failed(error)
                 await asyncio.sleep(
