--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -107,7 +107,7 @@
         except exceptions.PlatformError as error:
             self.state.call_failed(error, asked)
             return
-        self.state.answered()
+        self.state.call_answered()
         self.joined = True
         self.generation = place.generation
         holds = 0 in place.parts
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -52,7 +52,7 @@
         if self.contact.failed(asked, clocks.now()):
             events.log(events.STORE_LOST, reason=str(error))
 
-    def answered(self) -> None:
+    def call_answered(self) -> None:
         """Notes a call that was answered."""
         seconds = self.contact.answered(clocks.now())
         if seconds is not None:
@@ -207,7 +207,7 @@
         else:
             await self.read_on()
         self.failures = 0
-        self.state.answered()
+        self.state.call_answered()
         if alone:
             self.alone_at = clocks.now()
 
@@ -269,7 +269,7 @@
         self.following.confirm(known_at)
         if not self.reads() and not self.following.is_stale(clocks.now()):
             self.failures = 0
-            self.state.answered()
+            self.state.call_answered()
 
 
 def rounded_age(
