--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -66,13 +66,13 @@
         """
         self.contact.confirm(first_hand, clocks.now())
 
-    def shared_grace(self, between: bool) -> float:
+    def shared_grace(self, between_relays: bool) -> float:
         """Seconds for which a missing entry is believed, as sent to others.
 
         Args:
             between: Whether it is sent to those who might pass it on.
         """
-        return self.contact.shared_grace(between, clocks.now())
+        return self.contact.shared_grace(between_relays, clocks.now())
 
     def grace(self) -> float:
         """Seconds for which a missing entry is believed."""
