--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -238,7 +238,7 @@
         unless there are many.
         """
         watch = self.watches["registrations"]
-        if not self.gossip.meshed and not watch.flowing:
+        if not self.gossip.meshed and not watch.has_new_records:
             return 0.0
         return polling.poll_interval(
             self.gossip.readers(), self.settings.replicas.leaving_ms / 1000
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -130,7 +130,7 @@
         self.consumer = consumer
         self.pause = pause
         self.wait = wait
-        self.flowing = False
+        self.has_new_records = False
         self.read = False
         self.failures = 0
         self.asked = -math.inf
@@ -239,7 +239,7 @@
         page = await self.read_page(start, wait)
         self.consumer.update(page.records)
         self.position = max(page.end, self.position)
-        self.flowing = bool(page.records)
+        self.has_new_records = bool(page.records)
         if not page.records and not self.reads():
             # A relay that speaks of more is not asked for it in a loop.
             await self.idle()
