--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -133,7 +133,7 @@
         self.has_new_records = False
         self.read = False
         self.failures = 0
-        self.asked = -math.inf
+        self.called_at = -math.inf
         self.position = 0
         self.whole_at = -math.inf
         self.doubted = False
@@ -155,7 +155,7 @@
             except exceptions.ReadOverdue as error:
                 self.failed(error)
             except exceptions.PlatformError as error:
-                self.state.call_failed(error, self.asked)
+                self.state.call_failed(error, self.called_at)
                 self.failures += 1
                 took = self.failed(error)
                 await asyncio.sleep(
@@ -166,7 +166,7 @@
         """Has all read again after a failed read; returns its seconds."""
         self.doubted = True
         now = clocks.now()
-        took = now - self.asked
+        took = now - self.called_at
         events.log(
             events.TOPIC_UNREAD,
             topic=self.topic,
@@ -186,7 +186,7 @@
         """
         if self.waiting is None:
             return
-        if clocks.now() - max(since, self.asked) > limit:
+        if clocks.now() - max(since, self.called_at) > limit:
             self.waiting.reschedule(asyncio.get_running_loop().time())
 
     async def idle(self) -> None:
@@ -213,7 +213,7 @@
 
     async def read_newest(self) -> None:
         """Reads the newest record of every key."""
-        asked = self.asked = clocks.now()
+        asked = self.called_at = clocks.now()
         page = await self.store.newest(self.topic)
         if self.doubted and self.read:
             events.log(
@@ -235,7 +235,7 @@
             await asyncio.sleep(self.pause())
             wait = self.wait()
         start = self.position
-        asked = self.asked = clocks.now()
+        asked = self.called_at = clocks.now()
         page = await self.read_page(start, wait)
         self.consumer.update(page.records)
         self.position = max(page.end, self.position)
