--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -374,7 +374,7 @@
             lambda: 1.0,
             bound=4.0,
         )
-        watch.read = True
+        watch.has_read_all = True
         watch.following.record_read(0.0)
         watches.append(watch)
     return knowledge.Knowledge(
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -222,7 +222,8 @@
         entries = self.gossip.entries
         entries.ready = nodes.wake.set
         nodes.needed = lambda: (
-            entries.may_read() and (self.gossip.reads() or not nodes.read)
+            entries.may_read()
+            and (self.gossip.reads() or not nodes.has_read_all)
         )
         return watches
 
@@ -258,7 +259,7 @@
         """Whether the balancer is to send connections here."""
         if self.stop.is_set() or self.configurations.current is None:
             return False
-        return self.watches["registrations"].read
+        return self.watches["registrations"].has_read_all
 
     async def run(self) -> None:
         """Runs until `stop` is set, then shuts down."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -68,7 +68,7 @@
     def reads_registrations(self) -> bool:
         """Whether this node is to read the registrations now."""
         watch = self.registrations_watch
-        if self.reads() or not watch.read:
+        if self.reads() or not watch.has_read_all:
             return True
         now = clocks.now()
         doubtful = watch.following.is_stale(now)
@@ -90,7 +90,7 @@
         relay's word on the configuration is in doubt too.
         """
         watch = self.configuration_watch
-        if self.reads() or not watch.read:
+        if self.reads() or not watch.has_read_all:
             return True
         if self.behind():
             return True
@@ -109,7 +109,7 @@
         """
         registrations = self.registrations_watch
         configuration = self.configuration_watch
-        if not registrations.read:
+        if not registrations.has_read_all:
             return None
         now = clocks.now()
         registry = self.registrations.registry
@@ -143,7 +143,7 @@
         """
         now = clocks.now()
         watch = self.registrations_watch
-        if not watch.read:
+        if not watch.has_read_all:
             return
         changes = []
         for changed in knowledge.changed:
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -131,7 +131,7 @@
         self.pause = pause
         self.wait = wait
         self.has_new_records = False
-        self.read = False
+        self.has_read_all = False
         self.failures = 0
         self.called_at = -math.inf
         self.position = 0
@@ -215,14 +215,14 @@
         """Reads the newest record of every key."""
         asked = self.called_at = clocks.now()
         page = await self.store.newest(self.topic)
-        if self.doubted and self.read:
+        if self.doubted and self.has_read_all:
             events.log(
                 events.TOPIC_READ,
                 topic=self.topic,
                 age=rounded_age(self.following, asked),
             )
         self.consumer.replace(page.records)
-        self.read = True
+        self.has_read_all = True
         self.position = page.end
         self.whole_at = asked
         self.doubted = False
