--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -311,7 +311,7 @@
             store, state, topic, consumer, lambda: 0.0, lambda: 1.0
         )
         watch.position = context.start
-        watch.whole_at = clocks.now()
+        watch.complete_at = clocks.now()
         try:
             await watch.step()
         except exceptions.PlatformError as error:
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -135,7 +135,7 @@
         self.failures = 0
         self.called_at = -math.inf
         self.position = 0
-        self.whole_at = -math.inf
+        self.complete_at = -math.inf
         self.doubted = False
         self.following = topic_staleness_module.TopicStaleness(bound)
         self.alone_at = -math.inf
@@ -202,7 +202,7 @@
         """Reads once: the newest records, or those that came since."""
         alone = not self.reads()
         now = clocks.now()
-        if self.doubted or now - self.whole_at > REREAD_SECONDS:
+        if self.doubted or now - self.complete_at > REREAD_SECONDS:
             await self.read_newest()
         else:
             await self.read_on()
@@ -224,7 +224,7 @@
         self.consumer.replace(page.records)
         self.has_read_all = True
         self.position = page.end
-        self.whole_at = asked
+        self.complete_at = asked
         self.doubted = False
         self.following.record_read(asked)
 
@@ -265,7 +265,7 @@
     def trust(self, end: int, known_at: float) -> None:
         """Takes over how far a relay has read that knows the same."""
         self.position = max(end, self.position)
-        self.whole_at = max(known_at, self.whole_at)
+        self.complete_at = max(known_at, self.complete_at)
         self.following.confirm(known_at)
         if not self.reads() and not self.following.is_stale(clocks.now()):
             self.failures = 0
