--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -320,5 +320,5 @@
         return watch
 
     watch = asyncio.run(read())
-    assert watch.doubted
+    assert watch.is_suspect
     assert watch.position == context.start, watch.position
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -136,7 +136,7 @@
         self.called_at = -math.inf
         self.position = 0
         self.complete_at = -math.inf
-        self.doubted = False
+        self.is_suspect = False
         self.following = topic_staleness_module.TopicStaleness(bound)
         self.alone_at = -math.inf
         self.needed: Callable[[], bool] = lambda: True
@@ -164,7 +164,7 @@
 
     def failed(self, error: exceptions.PlatformError) -> float:
         """Has all read again after a failed read; returns its seconds."""
-        self.doubted = True
+        self.is_suspect = True
         now = clocks.now()
         took = now - self.called_at
         events.log(
@@ -202,7 +202,7 @@
         """Reads once: the newest records, or those that came since."""
         alone = not self.reads()
         now = clocks.now()
-        if self.doubted or now - self.complete_at > REREAD_SECONDS:
+        if self.is_suspect or now - self.complete_at > REREAD_SECONDS:
             await self.read_newest()
         else:
             await self.read_on()
@@ -215,7 +215,7 @@
         """Reads the newest record of every key."""
         asked = self.called_at = clocks.now()
         page = await self.store.newest(self.topic)
-        if self.doubted and self.has_read_all:
+        if self.is_suspect and self.has_read_all:
             events.log(
                 events.TOPIC_READ,
                 topic=self.topic,
@@ -225,7 +225,7 @@
         self.has_read_all = True
         self.position = page.end
         self.complete_at = asked
-        self.doubted = False
+        self.is_suspect = False
         self.following.record_read(asked)
 
     async def read_on(self) -> None:
