--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -375,7 +375,7 @@
             bound=4.0,
         )
         watch.has_read_all = True
-        watch.following.record_read(0.0)
+        watch.staleness.record_read(0.0)
         watches.append(watch)
     return knowledge.Knowledge(
         registrations_module.Registrations(gossip.directory, state),
@@ -396,7 +396,7 @@
         context.knowledge.registrations_watch,
         context.knowledge.configuration_watch,
     ):
-        watch.following.record_read(clocks.now())
+        watch.staleness.record_read(clocks.now())
 
 
 @behave.when("the relay tells of the version {version:d}")
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -370,7 +370,7 @@
 
     def count_known(self) -> None:
         """Sets the gauges of what this node knows, and by whom."""
-        age = self.watches["registrations"].following.age(clocks.now())
+        age = self.watches["registrations"].staleness.age(clocks.now())
         self.counters.nodes.set(self.gossip.nodes())
         self.counters.relays.set(int(self.gossip.reads()))
         self.counters.registrations_age.set(age)
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -71,14 +71,14 @@
         if self.reads() or not watch.has_read_all:
             return True
         now = clocks.now()
-        doubtful = watch.following.is_stale(now)
+        doubtful = watch.staleness.is_stale(now)
         if doubtful and not self.doubting:
             events.log(
                 events.KNOWLEDGE_DOUBTED,
                 age=round(
-                    min(watch.following.age(now), watching.MAX_AGE_SECONDS), 3
+                    min(watch.staleness.age(now), watching.MAX_AGE_SECONDS), 3
                 ),
-                differs=watch.following.differing_since is not None,
+                differs=watch.staleness.differing_since is not None,
             )
         self.doubting = doubtful
         return doubtful
@@ -95,10 +95,10 @@
         if self.behind():
             return True
         now = clocks.now()
-        age = watch.following.age(now)
+        age = watch.staleness.age(now)
         if age > self.limits.max_age:
             return True
-        longest = topic_staleness.MAX_AGE_FRACTION * watch.following.bound
+        longest = topic_staleness.MAX_AGE_FRACTION * watch.staleness.bound
         return now - self.registrations_watch.alone_at < longest < age
 
     def outgoing(self, between: bool) -> messages.Knowledge | None:
@@ -118,13 +118,13 @@
             changed.append(messages.Changed(*change))
         return messages.Knowledge(
             registrations.position,
-            sent_age(registrations.following, now, between),
+            sent_age(registrations.staleness, now, between),
             registry.digest,
             changed,
             round(self.registrations.state.shared_grace(between), 3),
             self.configurations.version(),
             configuration.position,
-            sent_age(configuration.following, now, between),
+            sent_age(configuration.staleness, now, between),
         )
 
     def receive(
@@ -158,8 +158,8 @@
         if self.registrations.registry.digest == knowledge.digest:
             watch.trust(knowledge.end, now - knowledge.age)
         elif knowledge.end >= watch.position:
-            watch.following.record_difference(now)
-            if watch.following.differs(now) and now >= self.next_question:
+            watch.staleness.record_difference(now)
+            if watch.staleness.differs(now) and now >= self.next_question:
                 self.next_question = now + ASKING
                 self.different = address
                 self.news.set()
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -137,7 +137,7 @@
         self.position = 0
         self.complete_at = -math.inf
         self.is_suspect = False
-        self.following = topic_staleness_module.TopicStaleness(bound)
+        self.staleness = topic_staleness_module.TopicStaleness(bound)
         self.alone_at = -math.inf
         self.needed: Callable[[], bool] = lambda: True
         self.reads: Callable[[], bool] = lambda: True
@@ -173,7 +173,7 @@
             reason=str(error),
             seconds=round(took, 3),
             failures=self.failures,
-            age=rounded_age(self.following, now),
+            age=rounded_age(self.staleness, now),
         )
         return took
 
@@ -219,14 +219,14 @@
             events.log(
                 events.TOPIC_READ,
                 topic=self.topic,
-                age=rounded_age(self.following, asked),
+                age=rounded_age(self.staleness, asked),
             )
         self.consumer.replace(page.records)
         self.has_read_all = True
         self.position = page.end
         self.complete_at = asked
         self.is_suspect = False
-        self.following.record_read(asked)
+        self.staleness.record_read(asked)
 
     async def read_on(self) -> None:
         """Reads the records that came since; waits for one as a reader."""
@@ -244,7 +244,7 @@
             # A relay that speaks of more is not asked for it in a loop.
             await self.idle()
         # The store answers an empty page once it has waited in vain.
-        self.following.record_read(asked if page.records else asked + wait)
+        self.staleness.record_read(asked if page.records else asked + wait)
 
     async def read_page(self, start: int, wait: float) -> store_module.Page:
         """Reads from an offset on, unless that becomes overdue.
@@ -266,8 +266,8 @@
         """Takes over how far a relay has read that knows the same."""
         self.position = max(end, self.position)
         self.complete_at = max(known_at, self.complete_at)
-        self.following.confirm(known_at)
-        if not self.reads() and not self.following.is_stale(clocks.now()):
+        self.staleness.confirm(known_at)
+        if not self.reads() and not self.staleness.is_stale(clocks.now()):
             self.failures = 0
             self.state.call_answered()
 
