--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -99,7 +99,7 @@
         if age > self.limits.max_age:
             return True
         longest = topic_staleness.MAX_AGE_FRACTION * watch.staleness.bound
-        return now - self.registrations_watch.alone_at < longest < age
+        return now - self.registrations_watch.direct_read_at < longest < age
 
     def outgoing(self, between: bool) -> messages.Knowledge | None:
         """What other nodes are sent; None at a start.
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -138,7 +138,7 @@
         self.complete_at = -math.inf
         self.is_suspect = False
         self.staleness = topic_staleness_module.TopicStaleness(bound)
-        self.alone_at = -math.inf
+        self.direct_read_at = -math.inf
         self.needed: Callable[[], bool] = lambda: True
         self.reads: Callable[[], bool] = lambda: True
         self.wake = asyncio.Event()
@@ -209,7 +209,7 @@
         self.failures = 0
         self.state.call_answered()
         if alone:
-            self.alone_at = clocks.now()
+            self.direct_read_at = clocks.now()
 
     async def read_newest(self) -> None:
         """Reads the newest record of every key."""
