--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -221,7 +221,7 @@
         nodes.reads = self.gossip.reads
         entries = self.gossip.entries
         entries.ready = nodes.wake.set
-        nodes.needed = lambda: (
+        nodes.should_read = lambda: (
             entries.may_read()
             and (self.gossip.reads() or not nodes.has_read_all)
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -62,8 +62,8 @@
         self.doubting = False
         for watch in (registrations_watch, configuration_watch):
             watch.reads = reads
-        registrations_watch.needed = self.reads_registrations
-        configuration_watch.needed = self.reads_configuration
+        registrations_watch.should_read = self.reads_registrations
+        configuration_watch.should_read = self.reads_configuration
 
     def reads_registrations(self) -> bool:
         """Whether this node is to read the registrations now."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -139,7 +139,7 @@
         self.is_suspect = False
         self.staleness = topic_staleness_module.TopicStaleness(bound)
         self.direct_read_at = -math.inf
-        self.needed: Callable[[], bool] = lambda: True
+        self.should_read: Callable[[], bool] = lambda: True
         self.reads: Callable[[], bool] = lambda: True
         self.wake = asyncio.Event()
         self.waiting: asyncio.Timeout | None = None
@@ -147,7 +147,7 @@
     async def run(self) -> None:
         """Follows the topic for as long as the node runs."""
         while True:
-            if not self.needed():
+            if not self.should_read():
                 await self.idle()
                 continue
             try:
