--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -218,7 +218,7 @@
             ),
         }
         nodes = watches["nodes"]
-        nodes.reads = self.gossip.reads
+        nodes.is_reader = self.gossip.reads
         entries = self.gossip.entries
         entries.ready = nodes.wake.set
         nodes.should_read = lambda: (
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -61,7 +61,7 @@
         self.news = asyncio.Event()
         self.doubting = False
         for watch in (registrations_watch, configuration_watch):
-            watch.reads = reads
+            watch.is_reader = reads
         registrations_watch.should_read = self.reads_registrations
         configuration_watch.should_read = self.reads_configuration
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -140,7 +140,7 @@
         self.staleness = topic_staleness_module.TopicStaleness(bound)
         self.direct_read_at = -math.inf
         self.should_read: Callable[[], bool] = lambda: True
-        self.reads: Callable[[], bool] = lambda: True
+        self.is_reader: Callable[[], bool] = lambda: True
         self.wake = asyncio.Event()
         self.waiting: asyncio.Timeout | None = None
 
@@ -200,7 +200,7 @@
 
     async def step(self) -> None:
         """Reads once: the newest records, or those that came since."""
-        alone = not self.reads()
+        alone = not self.is_reader()
         now = clocks.now()
         if self.is_suspect or now - self.complete_at > REREAD_SECONDS:
             await self.read_newest()
@@ -231,7 +231,7 @@
     async def read_on(self) -> None:
         """Reads the records that came since; waits for one as a reader."""
         wait = 0.0
-        if self.reads():
+        if self.is_reader():
             await asyncio.sleep(self.pause())
             wait = self.wait()
         start = self.position
@@ -240,7 +240,7 @@
         self.consumer.update(page.records)
         self.position = max(page.end, self.position)
         self.has_new_records = bool(page.records)
-        if not page.records and not self.reads():
+        if not page.records and not self.is_reader():
             # A relay that speaks of more is not asked for it in a loop.
             await self.idle()
         # The store answers an empty page once it has waited in vain.
@@ -267,7 +267,7 @@
         self.position = max(end, self.position)
         self.complete_at = max(known_at, self.complete_at)
         self.staleness.confirm(known_at)
-        if not self.reads() and not self.staleness.is_stale(clocks.now()):
+        if not self.is_reader() and not self.staleness.is_stale(clocks.now()):
             self.failures = 0
             self.state.call_answered()
 
