--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -142,7 +142,7 @@
         self.should_read: Callable[[], bool] = lambda: True
         self.is_reader: Callable[[], bool] = lambda: True
         self.wake = asyncio.Event()
-        self.waiting: asyncio.Timeout | None = None
+        self.read_timeout: asyncio.Timeout | None = None
 
     async def run(self) -> None:
         """Follows the topic for as long as the node runs."""
@@ -184,10 +184,10 @@
             since: When that was first known, by `clocks.now`.
             limit: Seconds that it may wait on.
         """
-        if self.waiting is None:
+        if self.read_timeout is None:
             return
         if clocks.now() - max(since, self.called_at) > limit:
-            self.waiting.reschedule(asyncio.get_running_loop().time())
+            self.read_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def idle(self) -> None:
         """Waits until it is time to look again whether to read."""
@@ -254,13 +254,13 @@
             exceptions.PlatformError: The store did not answer.
         """
         try:
-            async with asyncio.timeout(None) as self.waiting:
+            async with asyncio.timeout(None) as self.read_timeout:
                 return await self.store.read(self.topic, start, wait)
         except TimeoutError as error:
             reason = "another node has read more"
             raise exceptions.ReadOverdue(reason) from error
         finally:
-            self.waiting = None
+            self.read_timeout = None
 
     def trust(self, end: int, known_at: float) -> None:
         """Takes over how far a relay has read that knows the same."""
