--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -315,7 +315,7 @@
         try:
             await watch.step()
         except exceptions.PlatformError as error:
-            watch.failed(error)
+            watch.read_failed(error)
         await store.close()
         return watch
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -153,16 +153,16 @@
             try:
                 await self.step()
             except exceptions.ReadOverdue as error:
-                self.failed(error)
+                self.read_failed(error)
             except exceptions.PlatformError as error:
                 self.state.call_failed(error, self.called_at)
                 self.failures += 1
-                took = self.failed(error)
+                took = self.read_failed(error)
                 await asyncio.sleep(
                     polling.retry_delay(self.failures, random.random(), took)
                 )
 
-    def failed(self, error: exceptions.PlatformError) -> float:
+    def read_failed(self, error: exceptions.PlatformError) -> float:
         """Has all read again after a failed read; returns its seconds."""
         self.is_suspect = True
         now = clocks.now()
