--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -266,7 +266,7 @@
         path.silence(1.0, site.rng)
         site.configure(store_loss_steps.NEWER)
         await asyncio.sleep(context.waited)
-        watch.overdue(clocks.now() - before, before / 2)
+        watch.cancel_overdue_read(clocks.now() - before, before / 2)
         await asyncio.sleep(2 * virtual_store.CALL)
         context.reads = consumer.replace.call_count
         task.cancel()
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -177,7 +177,7 @@
         if version < knowledge.version:
             self.ahead = address
             self.configuration_watch.wake.set()
-            self.configuration_watch.overdue(
+            self.configuration_watch.cancel_overdue_read(
                 self.configurations.announced_at, self.limits.overdue_after
             )
             self.news.set()
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -177,7 +177,7 @@
         )
         return took
 
-    def overdue(self, since: float, limit: float) -> None:
+    def cancel_overdue_read(self, since: float, limit: float) -> None:
         """Gives up a read that waits for what another node has read.
 
         Args:
