--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -148,7 +148,7 @@
         """Follows the topic for as long as the node runs."""
         while True:
             if not self.should_read():
-                await self.idle()
+                await self.wait_for_check()
                 continue
             try:
                 await self.step()
@@ -189,7 +189,7 @@
         if clocks.now() - max(since, self.called_at) > limit:
             self.read_timeout.reschedule(asyncio.get_running_loop().time())
 
-    async def idle(self) -> None:
+    async def wait_for_check(self) -> None:
         """Waits until it is time to look again whether to read."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
@@ -242,7 +242,7 @@
         self.has_new_records = bool(page.records)
         if not page.records and not self.is_reader():
             # A relay that speaks of more is not asked for it in a loop.
-            await self.idle()
+            await self.wait_for_check()
         # The store answers an empty page once it has waited in vain.
         self.staleness.record_read(asked if page.records else asked + wait)
 
