--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -313,7 +313,7 @@
         watch.position = context.start
         watch.complete_at = clocks.now()
         try:
-            await watch.step()
+            await watch.read_once()
         except exceptions.PlatformError as error:
             watch.read_failed(error)
         await store.close()
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -151,7 +151,7 @@
                 await self.wait_for_check()
                 continue
             try:
-                await self.step()
+                await self.read_once()
             except exceptions.ReadOverdue as error:
                 self.read_failed(error)
             except exceptions.PlatformError as error:
@@ -198,7 +198,7 @@
                 await self.wake.wait()
         self.wake.clear()
 
-    async def step(self) -> None:
+    async def read_once(self) -> None:
         """Reads once: the newest records, or those that came since."""
         alone = not self.is_reader()
         now = clocks.now()
