--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -205,7 +205,7 @@
         if self.is_suspect or now - self.complete_at > REREAD_SECONDS:
             await self.read_newest()
         else:
-            await self.read_on()
+            await self.read_updates()
         self.failures = 0
         self.state.call_answered()
         if alone:
@@ -228,7 +228,7 @@
         self.is_suspect = False
         self.staleness.record_read(asked)
 
-    async def read_on(self) -> None:
+    async def read_updates(self) -> None:
         """Reads the records that came since; waits for one as a reader."""
         wait = 0.0
         if self.is_reader():
