--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -156,7 +156,7 @@
             self.registrations.state.confirm_relayed(between)
         self.registrations.merge(changes, knowledge.grace)
         if self.registrations.registry.digest == knowledge.digest:
-            watch.trust(knowledge.end, now - knowledge.age)
+            watch.confirm_relayed(knowledge.end, now - knowledge.age)
         elif knowledge.end >= watch.position:
             watch.staleness.record_difference(now)
             if watch.staleness.differs(now) and now >= self.next_question:
@@ -182,7 +182,7 @@
             )
             self.news.set()
         elif version == knowledge.version:
-            self.configuration_watch.trust(
+            self.configuration_watch.confirm_relayed(
                 knowledge.version_end, now - knowledge.version_age
             )
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -262,7 +262,7 @@
         finally:
             self.read_timeout = None
 
-    def trust(self, end: int, known_at: float) -> None:
+    def confirm_relayed(self, end: int, known_at: float) -> None:
         """Takes over how far a relay has read that knows the same."""
         self.position = max(end, self.position)
         self.complete_at = max(known_at, self.complete_at)
