--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -252,7 +252,7 @@
     async def story():
         path = virtual_store.Path()
         store = virtual_store.Store(site.log, path)
-        watch = watching.Watch(
+        watch = watching.TopicWatch(
             store,
             watching.StoreState(CONTACT),
             names.CONFIGURATION_TOPIC,
@@ -307,7 +307,7 @@
         consumer = mock.Mock()
         state = watching.StoreState(CONTACT)
         topic = names.CONFIGURATION_TOPIC
-        watch = watching.Watch(
+        watch = watching.TopicWatch(
             store, state, topic, consumer, lambda: 0.0, lambda: 1.0
         )
         watch.position = context.start
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -365,7 +365,7 @@
     state = watching.StoreState(3.0)
     watches = []
     for _ in range(2):
-        watch = watching.Watch(
+        watch = watching.TopicWatch(
             mock.Mock(),
             state,
             "",
@@ -477,7 +477,7 @@
 )
 def step_forgetful(context):
     context.store = ForgetfulStore()
-    context.watch = watching.Watch(
+    context.watch = watching.TopicWatch(
         context.store,
         watching.StoreState(3.0),
         "",
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -186,11 +186,11 @@
         self.directory.removal_listeners.append(self.forget)
         self.runners: list[web.ServerRunner] = []
 
-    def make_watches(self) -> dict[str, watching.Watch]:
+    def make_watches(self) -> dict[str, watching.TopicWatch]:
         """What is followed in the store, each by a task of its own."""
         bound = self.settings.replicas.leaving_ms / 1000
         watches = {
-            "configuration": watching.Watch(
+            "configuration": watching.TopicWatch(
                 self.store.reader(self.limits.answer),
                 self.store_state,
                 names.CONFIGURATION_TOPIC,
@@ -199,7 +199,7 @@
                 lambda: self.limits.wait,
                 bound,
             ),
-            "registrations": watching.Watch(
+            "registrations": watching.TopicWatch(
                 self.store.reader(self.limits.answer),
                 self.store_state,
                 names.REGISTRATIONS_TOPIC,
@@ -208,7 +208,7 @@
                 self.registrations_wait,
                 bound,
             ),
-            "nodes": watching.Watch(
+            "nodes": watching.TopicWatch(
                 self.store.reader(self.limits.answer),
                 self.store_state,
                 names.NODES_TOPIC,
--- a/packages/gypsumfold/src/gypsumfold/gateway/watching.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/watching.py
@@ -89,7 +89,7 @@
         """Takes in records that came since."""
 
 
-class Watch:
+class TopicWatch:
     """Follows one keyed topic; goes on from the newest after any doubt.
 
     Attributes:
