--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -247,7 +247,7 @@
 
     def registrations_wait(self) -> float:
         """Seconds for which a read of the registrations waits."""
-        longest = registrations_module.REGISTRATIONS_WAIT
+        longest = registrations_module.MAX_WAIT_SECONDS
         if not self.gossip.meshed:
             bound = self.settings.replicas.leaving_ms / 1000
             longest = min(longest, registrations_module.READER_SHARE * bound)
--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -16,7 +16,7 @@
 from gypsumfold.platform import store as store_module
 
 # Seconds that a read of the registrations waits at most.
-REGISTRATIONS_WAIT = 1.0
+MAX_WAIT_SECONDS = 1.0
 # Share of the time within which a leaving replica must be known for which a
 # node waits that reads for others: what it says is then younger than the age
 # at which they read for themselves (`decisions/following.py`).
