--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -250,7 +250,9 @@
         longest = registrations_module.MAX_WAIT_SECONDS
         if not self.gossip.meshed:
             bound = self.settings.replicas.leaving_ms / 1000
-            longest = min(longest, registrations_module.READER_SHARE * bound)
+            longest = min(
+                longest, registrations_module.READER_WAIT_FRACTION * bound
+            )
         return read_timeouts.wait_after(
             self.registrations_pause(), longest, self.limits
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -20,7 +20,7 @@
 # Share of the time within which a leaving replica must be known for which a
 # node waits that reads for others: what it says is then younger than the age
 # at which they read for themselves (`decisions/following.py`).
-READER_SHARE = 0.3
+READER_WAIT_FRACTION = 0.3
 # Entries that are remembered as logged already; more in one fleet are logged
 # again.
 MOST_SKIPPED = 256
