--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -23,7 +23,7 @@
 READER_WAIT_FRACTION = 0.3
 # Entries that are remembered as logged already; more in one fleet are logged
 # again.
-MOST_SKIPPED = 256
+MAX_SKIPPED = 256
 # Encoding of registrations in messages between nodes.
 ENCODER = msgspec.msgpack.Encoder()
 DECODER = msgspec.msgpack.Decoder(types.Replica)
@@ -141,7 +141,7 @@
         """Counts an entry that names no replica; logs the same one once."""
         if self.skipped.get(record.key) == record.value:
             return
-        if len(self.skipped) >= MOST_SKIPPED:
+        if len(self.skipped) >= MAX_SKIPPED:
             self.skipped.clear()
         self.skipped[record.key] = record.value
         self.unreadable += 1
