--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -177,7 +177,7 @@
             self.limits,
         )
         self.gossip.summaries.knowledge = self.knowledge
-        self.registrations.changed = self.gossip.read
+        self.registrations.on_change = self.gossip.read
         self.configurations.listeners.append(lambda _: self.gossip.read())
         self.answers.sources[questions.REGISTRATIONS] = (
             self.knowledge.registered
--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -47,7 +47,7 @@
         self.registry = registry_module.Registry()
         self.skipped: dict[str, bytes] = {}
         self.unreadable = 0
-        self.changed: Callable[[], None] = lambda: None
+        self.on_change: Callable[[], None] = lambda: None
 
     def replace(self, records: list[store_module.Record]) -> None:
         """Takes in the newest record of every key."""
@@ -73,7 +73,7 @@
         """Ends a reading; says so where the digest is another than before."""
         self.directory.expire(time.monotonic())
         if self.registry.digest != before:
-            self.changed()
+            self.on_change()
 
     def take(self, records: list[store_module.Record]) -> None:
         """Puts records into the registry and the directory."""
