--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -61,15 +61,15 @@
         for instance in list(self.directory.replicas):
             if instance not in self.registry.values:
                 self.drop(instance, self.state.grace())
-        self.taken(before)
+        self.finish_read(before)
 
     def update(self, records: list[store_module.Record]) -> None:
         """Takes in records that came since."""
         before = self.registry.digest
         self.take(records)
-        self.taken(before)
+        self.finish_read(before)
 
-    def taken(self, before: int) -> None:
+    def finish_read(self, before: int) -> None:
         """Ends a reading; says so where the digest is another than before."""
         self.directory.expire(time.monotonic())
         if self.registry.digest != before:
