--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -52,7 +52,7 @@
     def replace(self, records: list[store_module.Record]) -> None:
         """Takes in the newest record of every key."""
         before = self.registry.digest
-        self.take(records)
+        self.apply_records(records)
         present = {record.key for record in records if record.value}
         newest = max((record.offset for record in records), default=0)
         now = clocks.now()
@@ -66,7 +66,7 @@
     def update(self, records: list[store_module.Record]) -> None:
         """Takes in records that came since."""
         before = self.registry.digest
-        self.take(records)
+        self.apply_records(records)
         self.finish_read(before)
 
     def finish_read(self, before: int) -> None:
@@ -75,7 +75,7 @@
         if self.registry.digest != before:
             self.on_change()
 
-    def take(self, records: list[store_module.Record]) -> None:
+    def apply_records(self, records: list[store_module.Record]) -> None:
         """Puts records into the registry and the directory."""
         now = clocks.now()
         for record in records:
