--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -134,8 +134,8 @@
             end: Offset up to which that node has read.
         """
         present = {change.key for change in changes}
-        gone = self.registry.missing(present, end - 1)
-        self.merge([*changes, *gone], self.state.grace())
+        missing = self.registry.missing(present, end - 1)
+        self.merge([*changes, *missing], self.state.grace())
 
     def skip(self, record: store_module.Record, reason: str) -> None:
         """Counts an entry that names no replica; logs the same one once."""
