--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -17,7 +17,7 @@
 from gypsumfold.gateway.peers import gossip as gossip_module
 
 # Seconds between two looks at the engines; a look costs no call.
-INTERVAL = 0.15
+CHECK_INTERVAL_SECONDS = 0.15
 # Seconds beyond an engine's declared time for a change until its entry must
 # show the new role: streams that run end first, which takes as long as their
 # callers wait, and an order without an answer may be carried out 12 s later.
@@ -90,7 +90,7 @@
         """Looks again and again for as long as the node runs."""
         while True:
             await self.look()
-            await asyncio.sleep(INTERVAL)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def look(self) -> None:
         """Orders what the plan asks for, if this node may."""
