--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -21,7 +21,7 @@
 # Seconds beyond an engine's declared time for a change until its entry must
 # show the new role: streams that run end first, which takes as long as their
 # callers wait, and an order without an answer may be carried out 12 s later.
-PATIENCE = 12.0
+ROLE_CHANGE_TIMEOUT_SECONDS = 12.0
 # Seconds beyond an engine's declared time for a change for which it gets no
 # work unless its entry shows the new role; entries come once a second.
 CLOSED = 1.5
@@ -176,7 +176,7 @@
         if replica is None:
             return
         now = time.monotonic()
-        until = now + service.switch_time + PATIENCE
+        until = now + service.switch_time + ROLE_CHANGE_TIMEOUT_SECONDS
         self.pending[change.engine] = Pending(change.role, until)
         try:
             async with asyncio.timeout(CALL_LIMIT):
@@ -255,7 +255,7 @@
     ) -> None:
         """Asks an engine until it has its new role, and tells the others."""
         await asyncio.sleep(max(0.0, switch_time - ASK))
-        end = time.monotonic() + PATIENCE
+        end = time.monotonic() + ROLE_CHANGE_TIMEOUT_SECONDS
         while time.monotonic() < end:
             await asyncio.sleep(ASK)
             try:
