--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -24,7 +24,7 @@
 ROLE_CHANGE_TIMEOUT_SECONDS = 12.0
 # Seconds beyond an engine's declared time for a change for which it gets no
 # work unless its entry shows the new role; entries come once a second.
-CLOSED = 1.5
+CLOSED_SECONDS = 1.5
 # Seconds between telling the other nodes and the order.
 HEADS_UP = 0.05
 # Seconds between two questions whether a change of role is done; the entry
@@ -190,7 +190,7 @@
                         change.role, now + RETRY
                     )
                     return
-                self.close(change.engine, service.switch_time + CLOSED)
+                self.close(change.engine, service.switch_time + CLOSED_SECONDS)
                 await asyncio.sleep(HEADS_UP)
                 token = self.leadership.token(time.monotonic())
                 if token is None:
@@ -280,7 +280,7 @@
                 return
             if state.role != role or state.busy:
                 # It lets running streams end first, for 7 s and more.
-                self.close(replica.instance, CLOSED)
+                self.close(replica.instance, CLOSED_SECONDS)
                 continue
             until = time.monotonic() + BELIEVED
             self.directory.confirm_role(replica.instance, role, until)
