--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -26,7 +26,7 @@
 # work unless its entry shows the new role; entries come once a second.
 CLOSED_SECONDS = 1.5
 # Seconds between telling the other nodes and the order.
-HEADS_UP = 0.05
+ORDER_DELAY_SECONDS = 0.05
 # Seconds between two questions whether a change of role is done; the entry
 # in the store shows it up to two seconds later.
 ASK = 0.15
@@ -191,7 +191,7 @@
                     )
                     return
                 self.close(change.engine, service.switch_time + CLOSED_SECONDS)
-                await asyncio.sleep(HEADS_UP)
+                await asyncio.sleep(ORDER_DELAY_SECONDS)
                 token = self.leadership.token(time.monotonic())
                 if token is None:
                     self.directory.close_until(change.engine, time.monotonic())
