--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -29,7 +29,7 @@
 ORDER_DELAY_SECONDS = 0.05
 # Seconds between two questions whether a change of role is done; the entry
 # in the store shows it up to two seconds later.
-ASK = 0.15
+POLL_INTERVAL_SECONDS = 0.15
 # Seconds for which that is believed before the entry shows it.
 BELIEVED = 5.0
 # Seconds until an engine that could not be ordered is looked at again.
@@ -254,10 +254,10 @@
         switch_time: float,
     ) -> None:
         """Asks an engine until it has its new role, and tells the others."""
-        await asyncio.sleep(max(0.0, switch_time - ASK))
+        await asyncio.sleep(max(0.0, switch_time - POLL_INTERVAL_SECONDS))
         end = time.monotonic() + ROLE_CHANGE_TIMEOUT_SECONDS
         while time.monotonic() < end:
-            await asyncio.sleep(ASK)
+            await asyncio.sleep(POLL_INTERVAL_SECONDS)
             try:
                 async with asyncio.timeout(CALL_LIMIT):
                     state = await self.endpoints.state(replica)
