--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -31,7 +31,7 @@
 # in the store shows it up to two seconds later.
 POLL_INTERVAL_SECONDS = 0.15
 # Seconds for which that is believed before the entry shows it.
-BELIEVED = 5.0
+CONFIRMED_SECONDS = 5.0
 # Seconds until an engine that could not be ordered is looked at again.
 RETRY = 0.5
 # Seconds for one call to an engine.
@@ -282,7 +282,7 @@
                 # It lets running streams end first, for 7 s and more.
                 self.close(replica.instance, CLOSED_SECONDS)
                 continue
-            until = time.monotonic() + BELIEVED
+            until = time.monotonic() + CONFIRMED_SECONDS
             self.directory.confirm_role(replica.instance, role, until)
-            self.gossip.changed_role(replica.instance, role, BELIEVED)
+            self.gossip.changed_role(replica.instance, role, CONFIRMED_SECONDS)
             return
