--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -33,7 +33,7 @@
 # Seconds for which that is believed before the entry shows it.
 CONFIRMED_SECONDS = 5.0
 # Seconds until an engine that could not be ordered is looked at again.
-RETRY = 0.5
+RETRY_SECONDS = 0.5
 # Seconds for one call to an engine.
 CALL_LIMIT = 1.0
 
@@ -187,7 +187,7 @@
                 if token is None or done or not current:
                     # Looked at again once its entry or another order tells.
                     self.pending[change.engine] = Pending(
-                        change.role, now + RETRY
+                        change.role, now + RETRY_SECONDS
                     )
                     return
                 self.close(change.engine, service.switch_time + CLOSED_SECONDS)
@@ -218,7 +218,7 @@
         ) as error:
             if isinstance(error, exceptions.EndpointNotStarted):
                 # It surely has no order; another try may come soon.
-                until = time.monotonic() + RETRY
+                until = time.monotonic() + RETRY_SECONDS
             self.pending[change.engine] = Pending(change.role, until, False)
             events.log(
                 events.ROLE_ORDER_FAILED,
