--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -35,7 +35,7 @@
 # Seconds until an engine that could not be ordered is looked at again.
 RETRY_SECONDS = 0.5
 # Seconds for one call to an engine.
-CALL_LIMIT = 1.0
+CALL_TIMEOUT_SECONDS = 1.0
 
 
 class Pending(NamedTuple):
@@ -179,7 +179,7 @@
         until = now + service.switch_time + ROLE_CHANGE_TIMEOUT_SECONDS
         self.pending[change.engine] = Pending(change.role, until)
         try:
-            async with asyncio.timeout(CALL_LIMIT):
+            async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 state = await self.endpoints.state(replica)
                 current = self.directory.receive_state(change.engine, state)
                 token = self.leadership.token(time.monotonic())
@@ -259,7 +259,7 @@
         while time.monotonic() < end:
             await asyncio.sleep(POLL_INTERVAL_SECONDS)
             try:
-                async with asyncio.timeout(CALL_LIMIT):
+                async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                     state = await self.endpoints.state(replica)
             except (
                 exceptions.EndpointError,
