--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -50,7 +50,7 @@
 
     role: decision_types.Role
     until: float
-    certain: bool = True
+    accepted: bool = True
 
 
 class Planner:
@@ -128,7 +128,7 @@
             if replica.role is None:
                 continue
             pending = self.pending.get(replica.instance)
-            if pending is not None and not pending.certain:
+            if pending is not None and not pending.accepted:
                 continue
             role = self.directory.role(replica, now)
             role = pending.role if pending else role
