--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -271,7 +271,7 @@
 )
 def step_unshown(context):
     planner = context.planner
-    planner.pending[ORDERED] = planning.Pending(types.Role.DECODE, 200.0)
+    planner.pending[ORDERED] = planning.PendingOrder(types.Role.DECODE, 200.0)
     plan(context)
     # The change before was long enough ago for another one.
     planner.splits["lm"].changed_at = context.now - role_split.SETTLE_SECONDS
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -147,7 +147,7 @@
     directory.started(ENGINE, now - 1)
     directory.suspect(ENGINE, now)
     context.homes.caches.add(ENGINE, CHAIN, "m", MEMORY)
-    context.planner.pending[ENGINE] = planning.Pending(
+    context.planner.pending[ENGINE] = planning.PendingOrder(
         decision_types.Role.PREFILL, now + 60
     )
     context.gossip.changed_role(ENGINE, decision_types.Role.PREFILL, 60)
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -38,7 +38,7 @@
 CALL_TIMEOUT_SECONDS = 1.0
 
 
-class Pending(NamedTuple):
+class PendingOrder(NamedTuple):
     """An order whose effect has not shown yet.
 
     Attributes:
@@ -77,7 +77,7 @@
         self.directory = directory
         self.configurations = configurations
         self.endpoints = endpoints
-        self.pending: dict[str, Pending] = {}
+        self.pending: dict[str, PendingOrder] = {}
         self.splits: dict[str, role_split.RoleSplit] = {}
         self.tasks: set[asyncio.Task] = set()
         directory.removal_listeners.append(self.forget)
@@ -177,7 +177,7 @@
             return
         now = time.monotonic()
         until = now + service.switch_time + ROLE_CHANGE_TIMEOUT_SECONDS
-        self.pending[change.engine] = Pending(change.role, until)
+        self.pending[change.engine] = PendingOrder(change.role, until)
         try:
             async with asyncio.timeout(CALL_TIMEOUT_SECONDS):
                 state = await self.endpoints.state(replica)
@@ -186,7 +186,7 @@
                 done = state.busy or state.role == change.role
                 if token is None or done or not current:
                     # Looked at again once its entry or another order tells.
-                    self.pending[change.engine] = Pending(
+                    self.pending[change.engine] = PendingOrder(
                         change.role, now + RETRY_SECONDS
                     )
                     return
@@ -219,7 +219,9 @@
             if isinstance(error, exceptions.EndpointNotStarted):
                 # It surely has no order; another try may come soon.
                 until = time.monotonic() + RETRY_SECONDS
-            self.pending[change.engine] = Pending(change.role, until, False)
+            self.pending[change.engine] = PendingOrder(
+                change.role, until, False
+            )
             events.log(
                 events.ROLE_ORDER_FAILED,
                 instance=change.engine,
