--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -72,7 +72,7 @@
         homes: prefix_routing_module.PrefixRouter,
     ):
         self.gossip = gossip
-        self.homes = homes
+        self.prefix_router = homes
         self.leadership = leadership
         self.directory = directory
         self.configurations = configurations
@@ -132,7 +132,7 @@
                 continue
             role = self.directory.role(replica, now)
             role = pending.role if pending else role
-            waiting = self.homes.queued_seconds(replica.instance, now)
+            waiting = self.prefix_router.queued_seconds(replica.instance, now)
             # An order that has not shown may never be carried out: its engine
             # may have crashed since.
             changing = pending is not None or (
@@ -160,11 +160,13 @@
         prompts = 0.0
         streams = 0.0
         for replica in self.directory.known(service.name):
-            prompts += self.homes.queued_seconds(replica.instance, now)
+            prompts += self.prefix_router.queued_seconds(replica.instance, now)
             streams += self.directory.streams.total(replica.instance, now)
-        demand = self.homes.demand.total(service.name, now)
+        demand = self.prefix_router.demand.total(service.name, now)
         moving = role_split.transfer_load(
-            service.token_bytes, service.link_rate, self.homes.median_rate()
+            service.token_bytes,
+            service.link_rate,
+            self.prefix_router.median_rate(),
         )
         return role_split.Load(prompts, streams, demand, moving)
 
