--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -89,10 +89,10 @@
     async def run(self) -> None:
         """Looks again and again for as long as the node runs."""
         while True:
-            await self.look()
+            await self.check()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Orders what the plan asks for, if this node may."""
         now = time.monotonic()
         if self.leadership.token(now) is None:
