--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -99,7 +99,7 @@
             self.pending.clear()
             self.splits.clear()
             return
-        self.settle(now)
+        self.discard_settled(now)
         configuration = self.configurations.current
         if configuration is None:
             return
@@ -107,7 +107,7 @@
             if service.cache_tokens:
                 await self.plan(service)
 
-    def settle(self, now: float) -> None:
+    def discard_settled(self, now: float) -> None:
         """Forgets orders whose effect shows, or will not any more."""
         for instance, pending in list(self.pending.items()):
             replica = self.directory.replicas.get(instance)
