--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -192,7 +192,9 @@
                         change.role, now + RETRY_SECONDS
                     )
                     return
-                self.close(change.engine, service.switch_time + CLOSED_SECONDS)
+                self.close_engine(
+                    change.engine, service.switch_time + CLOSED_SECONDS
+                )
                 await asyncio.sleep(ORDER_DELAY_SECONDS)
                 token = self.leadership.token(time.monotonic())
                 if token is None:
@@ -231,7 +233,7 @@
                 reason=repr(error),
             )
 
-    def close(self, instance: str, seconds: float) -> None:
+    def close_engine(self, instance: str, seconds: float) -> None:
         """Has no node send an engine anything while it changes its role.
 
         The other nodes learn of it by the next datagram and send nothing
@@ -284,7 +286,7 @@
                 return
             if state.role != role or state.busy:
                 # It lets running streams end first, for 7 s and more.
-                self.close(replica.instance, CLOSED_SECONDS)
+                self.close_engine(replica.instance, CLOSED_SECONDS)
                 continue
             until = time.monotonic() + CONFIRMED_SECONDS
             self.directory.confirm_role(replica.instance, role, until)
