--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -214,7 +214,7 @@
                     demand=round(self.splits[service.name].demand, 3),
                 )
                 await self.endpoints.order(replica, order)
-            self.follow(replica, change.role, service.switch_time)
+            self.follow_role_change(replica, change.role, service.switch_time)
         except (
             exceptions.EndpointError,
             exceptions.RecordInvalid,
@@ -242,7 +242,7 @@
         self.directory.close_until(instance, time.monotonic() + seconds)
         self.gossip.closed(instance, seconds)
 
-    def follow(
+    def follow_role_change(
         self,
         replica: types.Replica,
         role: decision_types.Role,
