--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -249,11 +249,13 @@
         switch_time: float,
     ) -> None:
         """Watches an engine until it has its new role, beside all else."""
-        task = asyncio.create_task(self.watch(replica, role, switch_time))
+        task = asyncio.create_task(
+            self.wait_for_role(replica, role, switch_time)
+        )
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    async def watch(
+    async def wait_for_role(
         self,
         replica: types.Replica,
         role: decision_types.Role,
