--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -246,7 +246,7 @@
         directory.put(engine(f"i-{place}", types.Role.PREFILL))
     directory.put(engine(STEADY, types.Role.DECODE))
     directory.put(engine(ORDERED, types.Role.PREFILL))
-    context.planner = planning.Planner(
+    context.planner = planning.RolePlanner(
         mock.Mock(),
         directory,
         mock.Mock(),
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -117,7 +117,7 @@
     context.directory = context.gossip.directory
     context.homes = context.gossip.loads.homes
     context.endpoints = mock.AsyncMock()
-    context.planner = planning.Planner(
+    context.planner = planning.RolePlanner(
         mock.Mock(),
         context.directory,
         mock.Mock(),
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -154,7 +154,7 @@
             self.configurations.record
         )
         self.answers.sources[questions.CACHES] = self.cache_lists.told
-        self.planner = planning.Planner(
+        self.planner = planning.RolePlanner(
             self.leadership,
             self.directory,
             self.configurations,
--- a/packages/gypsumfold/src/gypsumfold/gateway/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/planning.py
@@ -53,7 +53,7 @@
     accepted: bool = True
 
 
-class Planner:
+class RolePlanner:
     """Gives orders while this node may.
 
     >>> planner = Planner(
