--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -23,7 +23,7 @@
 
 # Seconds between two questions for all registrations: where the answer does
 # not settle the difference, the store is read.
-ASKING = 1.0
+QUESTION_INTERVAL_SECONDS = 1.0
 ENCODER = msgspec.msgpack.Encoder()
 
 
@@ -160,7 +160,7 @@
         elif knowledge.end >= watch.position:
             watch.staleness.record_difference(now)
             if watch.staleness.differs(now) and now >= self.next_question:
-                self.next_question = now + ASKING
+                self.next_question = now + QUESTION_INTERVAL_SECONDS
                 self.different = address
                 self.news.set()
         self.receive_configuration(knowledge, address, now)
