--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -55,7 +55,7 @@
         self.configuration_watch = configuration_watch
         self.reads = reads
         self.questions = questions
-        self.ahead: tuple[str, int] | None = None
+        self.newer_peer: tuple[str, int] | None = None
         self.different: tuple[str, int] | None = None
         self.next_question = -math.inf
         self.news = asyncio.Event()
@@ -175,7 +175,7 @@
         self.configurations.announce(knowledge.version)
         version = self.configurations.version()
         if version < knowledge.version:
-            self.ahead = address
+            self.newer_peer = address
             self.configuration_watch.wake.set()
             self.configuration_watch.cancel_overdue_read(
                 self.configurations.announced_at, self.limits.overdue_after
@@ -213,13 +213,13 @@
             exceptions.PeerError: Nobody answers.
             exceptions.RecordInvalid: The answer is not sealed.
         """
-        if self.ahead is None or not self.behind():
+        if self.newer_peer is None or not self.behind():
             return
         failed = self.configuration_watch.failures > 0
         if not failed and self.configurations.behind() < self.limits.ask_after:
             return
         record = await self.questions.ask(
-            self.ahead, questions_module.CONFIGURATION
+            self.newer_peer, questions_module.CONFIGURATION
         )
         self.configurations.offer(record, "peer")
 
