--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -56,7 +56,7 @@
         self.reads = reads
         self.questions = questions
         self.newer_peer: tuple[str, int] | None = None
-        self.different: tuple[str, int] | None = None
+        self.differing_peer: tuple[str, int] | None = None
         self.next_question = -math.inf
         self.news = asyncio.Event()
         self.doubting = False
@@ -161,7 +161,7 @@
             watch.staleness.record_difference(now)
             if watch.staleness.differs(now) and now >= self.next_question:
                 self.next_question = now + QUESTION_INTERVAL_SECONDS
-                self.different = address
+                self.differing_peer = address
                 self.news.set()
         self.receive_configuration(knowledge, address, now)
 
@@ -233,7 +233,7 @@
             exceptions.RecordInvalid: The answer is not sealed.
             msgspec.DecodeError: It cannot be read.
         """
-        address, self.different = self.different, None
+        address, self.differing_peer = self.differing_peer, None
         if address is None:
             return
         body = await self.questions.ask(address, questions_module.REGISTRATIONS)
