--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -58,7 +58,7 @@
         self.newer_peer: tuple[str, int] | None = None
         self.differing_peer: tuple[str, int] | None = None
         self.next_question = -math.inf
-        self.news = asyncio.Event()
+        self.fetch_needed = asyncio.Event()
         self.doubting = False
         for watch in (registrations_watch, configuration_watch):
             watch.is_reader = reads
@@ -162,7 +162,7 @@
             if watch.staleness.differs(now) and now >= self.next_question:
                 self.next_question = now + QUESTION_INTERVAL_SECONDS
                 self.differing_peer = address
-                self.news.set()
+                self.fetch_needed.set()
         self.receive_configuration(knowledge, address, now)
 
     def receive_configuration(
@@ -180,7 +180,7 @@
             self.configuration_watch.cancel_overdue_read(
                 self.configurations.announced_at, self.limits.overdue_after
             )
-            self.news.set()
+            self.fetch_needed.set()
         elif version == knowledge.version:
             self.configuration_watch.confirm_relayed(
                 knowledge.version_end, now - knowledge.version_age
@@ -193,8 +193,8 @@
     async def fetch(self) -> None:
         """Asks those who know more, for as long as the node runs."""
         while True:
-            await self.news.wait()
-            self.news.clear()
+            await self.fetch_needed.wait()
+            self.fetch_needed.clear()
             try:
                 await self.fetch_configuration()
                 await self.fetch_registrations()
