--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -59,7 +59,7 @@
         self.differing_peer: tuple[str, int] | None = None
         self.next_question = -math.inf
         self.fetch_needed = asyncio.Event()
-        self.doubting = False
+        self.was_stale = False
         for watch in (registrations_watch, configuration_watch):
             watch.is_reader = reads
         registrations_watch.should_read = self.reads_registrations
@@ -72,7 +72,7 @@
             return True
         now = clocks.now()
         doubtful = watch.staleness.is_stale(now)
-        if doubtful and not self.doubting:
+        if doubtful and not self.was_stale:
             events.log(
                 events.KNOWLEDGE_DOUBTED,
                 age=round(
@@ -80,7 +80,7 @@
                 ),
                 differs=watch.staleness.differing_since is not None,
             )
-        self.doubting = doubtful
+        self.was_stale = doubtful
         return doubtful
 
     def reads_configuration(self) -> bool:
