--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -53,7 +53,7 @@
         self.configurations = configurations
         self.registrations_watch = registrations_watch
         self.configuration_watch = configuration_watch
-        self.reads = reads
+        self.is_reader = reads
         self.questions = questions
         self.newer_peer: tuple[str, int] | None = None
         self.differing_peer: tuple[str, int] | None = None
@@ -68,7 +68,7 @@
     def reads_registrations(self) -> bool:
         """Whether this node is to read the registrations now."""
         watch = self.registrations_watch
-        if self.reads() or not watch.has_read_all:
+        if self.is_reader() or not watch.has_read_all:
             return True
         now = clocks.now()
         doubtful = watch.staleness.is_stale(now)
@@ -90,7 +90,7 @@
         relay's word on the configuration is in doubt too.
         """
         watch = self.configuration_watch
-        if self.reads() or not watch.has_read_all:
+        if self.is_reader() or not watch.has_read_all:
             return True
         if self.behind():
             return True
