--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -44,7 +44,7 @@
         configurations: configurations_module.Configurations,
         registrations_watch: watching.TopicWatch,
         configuration_watch: watching.TopicWatch,
-        reads: Callable[[], bool],
+        is_reader: Callable[[], bool],
         questions: questions_module.Questions,
         limits: read_timeouts_module.ReadTimeouts,
     ):
@@ -53,7 +53,7 @@
         self.configurations = configurations
         self.registrations_watch = registrations_watch
         self.configuration_watch = configuration_watch
-        self.is_reader = reads
+        self.is_reader = is_reader
         self.questions = questions
         self.newer_peer: tuple[str, int] | None = None
         self.differing_peer: tuple[str, int] | None = None
@@ -61,7 +61,7 @@
         self.fetch_needed = asyncio.Event()
         self.was_stale = False
         for watch in (registrations_watch, configuration_watch):
-            watch.is_reader = reads
+            watch.is_reader = is_reader
         registrations_watch.should_read = self.reads_registrations
         configuration_watch.should_read = self.reads_configuration
 
