--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -62,10 +62,10 @@
         self.was_stale = False
         for watch in (registrations_watch, configuration_watch):
             watch.is_reader = is_reader
-        registrations_watch.should_read = self.reads_registrations
+        registrations_watch.should_read = self.should_read_registrations
         configuration_watch.should_read = self.reads_configuration
 
-    def reads_registrations(self) -> bool:
+    def should_read_registrations(self) -> bool:
         """Whether this node is to read the registrations now."""
         watch = self.registrations_watch
         if self.is_reader() or not watch.has_read_all:
