--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -63,7 +63,7 @@
         for watch in (registrations_watch, configuration_watch):
             watch.is_reader = is_reader
         registrations_watch.should_read = self.should_read_registrations
-        configuration_watch.should_read = self.reads_configuration
+        configuration_watch.should_read = self.should_read_configuration
 
     def should_read_registrations(self) -> bool:
         """Whether this node is to read the registrations now."""
@@ -83,7 +83,7 @@
         self.was_stale = doubtful
         return doubtful
 
-    def reads_configuration(self) -> bool:
+    def should_read_configuration(self) -> bool:
         """Whether this node is to read the configuration now.
 
         Where it has just read the registrations in doubt of its relay, that
