--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -101,7 +101,7 @@
         longest = topic_staleness.MAX_AGE_FRACTION * watch.staleness.bound
         return now - self.registrations_watch.direct_read_at < longest < age
 
-    def outgoing(self, between: bool) -> messages.Knowledge | None:
+    def outgoing(self, between_relays: bool) -> messages.Knowledge | None:
         """What other nodes are sent; None at a start.
 
         Args:
@@ -118,13 +118,13 @@
             changed.append(messages.Changed(*change))
         return messages.Knowledge(
             registrations.position,
-            sent_age(registrations.staleness, now, between),
+            sent_age(registrations.staleness, now, between_relays),
             registry.digest,
             changed,
-            round(self.registrations.state.shared_grace(between), 3),
+            round(self.registrations.state.shared_grace(between_relays), 3),
             self.configurations.version(),
             configuration.position,
-            sent_age(configuration.staleness, now, between),
+            sent_age(configuration.staleness, now, between_relays),
         )
 
     def receive(
