--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -131,7 +131,7 @@
         self,
         knowledge: messages.Knowledge,
         address: tuple[str, int],
-        between: bool,
+        between_relays: bool,
     ) -> None:
         """Takes in what a relay knows.
 
@@ -153,7 +153,7 @@
                 )
             )
         if knowledge.grace <= 0:
-            self.registrations.state.confirm_relayed(between)
+            self.registrations.state.confirm_relayed(between_relays)
         self.registrations.merge(changes, knowledge.grace)
         if self.registrations.registry.digest == knowledge.digest:
             watch.confirm_relayed(knowledge.end, now - knowledge.age)
