--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -92,7 +92,7 @@
         watch = self.configuration_watch
         if self.is_reader() or not watch.has_read_all:
             return True
-        if self.behind():
+        if self.is_behind():
             return True
         now = clocks.now()
         age = watch.staleness.age(now)
@@ -186,7 +186,7 @@
                 knowledge.version_end, now - knowledge.version_age
             )
 
-    def behind(self) -> bool:
+    def is_behind(self) -> bool:
         """Whether a newer configuration is known of."""
         return self.configurations.version() < self.configurations.announced
 
@@ -213,7 +213,7 @@
             exceptions.PeerError: Nobody answers.
             exceptions.RecordInvalid: The answer is not sealed.
         """
-        if self.newer_peer is None or not self.behind():
+        if self.newer_peer is None or not self.is_behind():
             return
         failed = self.configuration_watch.failures > 0
         if not failed and self.configurations.behind() < self.limits.ask_after:
