--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -180,7 +180,7 @@
         self.registrations.on_change = self.gossip.read
         self.configurations.listeners.append(lambda _: self.gossip.read())
         self.answers.sources[questions.REGISTRATIONS] = (
-            self.knowledge.registered
+            self.knowledge.encode_registrations
         )
         self.leadership.offers = self.gossip.may_lead
         self.directory.removal_listeners.append(self.forget)
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -245,7 +245,7 @@
             )
         self.registrations.merge_all(changes, found.end)
 
-    def registered(self) -> bytes:
+    def encode_registrations(self) -> bytes:
         """All registrations, for a node that knows others."""
         entries = []
         for key, known in self.registrations.registry.values.items():
