--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -255,8 +255,8 @@
 
 
 def sent_age(
-    known: topic_staleness.TopicStaleness, now: float, between: bool
+    known: topic_staleness.TopicStaleness, now: float, between_relays: bool
 ) -> float:
     """The age of what is known, as it is sent."""
-    known_at = known.read_at if between else known.known_at
+    known_at = known.read_at if between_relays else known.known_at
     return round(min(now - known_at, watching.MAX_AGE_SECONDS), 3)
