--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -377,7 +377,7 @@
         watch.has_read_all = True
         watch.staleness.record_read(0.0)
         watches.append(watch)
-    return knowledge.Knowledge(
+    return knowledge.StoreCopy(
         registrations_module.Registrations(gossip.directory, state),
         configurations_module.Configurations(),
         *watches,
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -167,7 +167,7 @@
             self.directory, self.store_state
         )
         self.watches = self.make_watches()
-        self.knowledge = knowledge_module.Knowledge(
+        self.knowledge = knowledge_module.StoreCopy(
             self.registrations,
             self.configurations,
             self.watches["registrations"],
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -27,7 +27,7 @@
 ENCODER = msgspec.msgpack.Encoder()
 
 
-class Knowledge:
+class StoreCopy:
     """The two topics that every node follows, and how old they are.
 
     >>> knowledge = Knowledge(
