--- a/packages/gypsumfold/src/gypsumfold/gateway/configurations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/configurations.py
@@ -31,13 +31,15 @@
 
     def replace(self, records: list[store_module.Record]) -> None:
         """Takes in the newest record of every key."""
-        self.take(records, "newest")
+        self.apply_records(records, "newest")
 
     def update(self, records: list[store_module.Record]) -> None:
         """Takes in records that came since."""
-        self.take(records, "read")
+        self.apply_records(records, "read")
 
-    def take(self, records: list[store_module.Record], source: str) -> None:
+    def apply_records(
+        self, records: list[store_module.Record], source: str
+    ) -> None:
         """Takes in records of the store."""
         for record in records:
             if record.key != names.CONFIGURATION_KEY or not record.value:
