--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -22,7 +22,7 @@
 GROUP = "gypsumfold-nodes"
 TOPIC = "gypsumfold-authority"
 # Renewals in one lease: two may be lost.
-RENEWALS = 3.0
+RENEWALS_PER_LEASE = 3.0
 # Share of the lease for which a holder believes in it: the store counts from
 # the renewal's arrival, a holder from before it was sent, and clocks drift
 # by far less than this.
@@ -79,7 +79,7 @@
             await asyncio.sleep(FIRST_LOOK)
         while True:
             await self.look()
-            pause = self.life / RENEWALS
+            pause = self.life / RENEWALS_PER_LEASE
             await asyncio.sleep(pause * random.uniform(0.8, 1.0))
 
     async def look(self) -> None:
