--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -26,7 +26,7 @@
 # Share of the lease for which a holder believes in it: the store counts from
 # the renewal's arrival, a holder from before it was sent, and clocks drift
 # by far less than this.
-BELIEVED = 0.8
+VALID_FRACTION = 0.8
 # Seconds for which a node stays in the group after it last offered itself: a
 # relay that was silent for a moment is back within a few.
 STAY = 10.0
@@ -111,7 +111,9 @@
         self.joined = True
         self.generation = place.generation
         holds = 0 in place.parts
-        self.until = sent + BELIEVED * self.life if holds else float("-inf")
+        self.until = (
+            sent + VALID_FRACTION * self.life if holds else float("-inf")
+        )
         if holds != self.holds:
             self.holds = holds
             event = events.ORDERS_GAINED if holds else events.ORDERS_LOST
