--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -29,7 +29,7 @@
 VALID_FRACTION = 0.8
 # Seconds for which a node stays in the group after it last offered itself: a
 # relay that was silent for a moment is back within a few.
-STAY = 10.0
+STAY_SECONDS = 10.0
 # Looks at a start whether this node may offer itself, and seconds between
 # them: it may once it has read who else takes part, after some 50 ms.
 FIRST_LOOKS = 50
@@ -91,7 +91,7 @@
         now = time.monotonic()
         if self.offers():
             self.offered = now
-        if now - self.offered < STAY:
+        if now - self.offered < STAY_SECONDS:
             await self.renew()
         elif self.joined:
             await self.leave()
