--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -32,7 +32,7 @@
 STAY_SECONDS = 10.0
 # Looks at a start whether this node may offer itself, and seconds between
 # them: it may once it has read who else takes part, after some 50 ms.
-FIRST_LOOKS = 50
+INITIAL_CHECKS = 50
 FIRST_LOOK = 0.02
 
 
@@ -73,7 +73,7 @@
 
     async def run(self) -> None:
         """Renews for as long as the node runs."""
-        for _ in range(FIRST_LOOKS):
+        for _ in range(INITIAL_CHECKS):
             if self.offers():
                 break
             await asyncio.sleep(FIRST_LOOK)
