--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -33,7 +33,7 @@
 # Looks at a start whether this node may offer itself, and seconds between
 # them: it may once it has read who else takes part, after some 50 ms.
 INITIAL_CHECKS = 50
-FIRST_LOOK = 0.02
+INITIAL_CHECK_SECONDS = 0.02
 
 
 class Leadership:
@@ -76,7 +76,7 @@
         for _ in range(INITIAL_CHECKS):
             if self.offers():
                 break
-            await asyncio.sleep(FIRST_LOOK)
+            await asyncio.sleep(INITIAL_CHECK_SECONDS)
         while True:
             await self.look()
             pause = self.life / RENEWALS_PER_LEASE
