--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -182,7 +182,7 @@
         self.answers.sources[questions.REGISTRATIONS] = (
             self.knowledge.encode_registrations
         )
-        self.leadership.offers = self.gossip.may_lead
+        self.leadership.is_candidate = self.gossip.may_lead
         self.directory.removal_listeners.append(self.forget)
         self.runners: list[web.ServerRunner] = []
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -54,7 +54,7 @@
         self.store = store
         self.state = state
         self.member = member
-        self.offers: Callable[[], bool] = lambda: True
+        self.is_candidate: Callable[[], bool] = lambda: True
         self.offered = float("-inf")
         self.joined = False
         self.life = max(
@@ -74,7 +74,7 @@
     async def run(self) -> None:
         """Renews for as long as the node runs."""
         for _ in range(INITIAL_CHECKS):
-            if self.offers():
+            if self.is_candidate():
                 break
             await asyncio.sleep(INITIAL_CHECK_SECONDS)
         while True:
@@ -89,7 +89,7 @@
         hands the authority over.
         """
         now = time.monotonic()
-        if self.offers():
+        if self.is_candidate():
             self.offered = now
         if now - self.offered < STAY_SECONDS:
             await self.renew()
