--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -55,7 +55,7 @@
         self.state = state
         self.member = member
         self.is_candidate: Callable[[], bool] = lambda: True
-        self.offered = float("-inf")
+        self.candidate_at = float("-inf")
         self.joined = False
         self.life = max(
             settings.orders.lease_ms / 1000,
@@ -90,8 +90,8 @@
         """
         now = time.monotonic()
         if self.is_candidate():
-            self.offered = now
-        if now - self.offered < STAY_SECONDS:
+            self.candidate_at = now
+        if now - self.candidate_at < STAY_SECONDS:
             await self.renew()
         elif self.joined:
             await self.leave()
