--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -57,7 +57,7 @@
         self.is_candidate: Callable[[], bool] = lambda: True
         self.candidate_at = float("-inf")
         self.joined = False
-        self.life = max(
+        self.lease_seconds = max(
             settings.orders.lease_ms / 1000,
             settings.store.shortest_lease_ms / 1000,
         )
@@ -79,7 +79,7 @@
             await asyncio.sleep(INITIAL_CHECK_SECONDS)
         while True:
             await self.look()
-            pause = self.life / RENEWALS_PER_LEASE
+            pause = self.lease_seconds / RENEWALS_PER_LEASE
             await asyncio.sleep(pause * random.uniform(0.8, 1.0))
 
     async def look(self) -> None:
@@ -102,7 +102,7 @@
         asked = clocks.now()
         try:
             place = await self.store.join(
-                GROUP, self.member, TOPIC, self.life, self.generation
+                GROUP, self.member, TOPIC, self.lease_seconds, self.generation
             )
         except exceptions.PlatformError as error:
             self.state.call_failed(error, asked)
@@ -112,7 +112,9 @@
         self.generation = place.generation
         holds = 0 in place.parts
         self.until = (
-            sent + VALID_FRACTION * self.life if holds else float("-inf")
+            sent + VALID_FRACTION * self.lease_seconds
+            if holds
+            else float("-inf")
         )
         if holds != self.holds:
             self.holds = holds
