--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -62,12 +62,12 @@
             settings.store.shortest_lease_ms / 1000,
         )
         self.generation = 0
-        self.until = float("-inf")
+        self.valid_until = float("-inf")
         self.holds = False
 
     def token(self, now: float) -> int | None:
         """The fencing token of an order given now; None to give none."""
-        if now >= self.until:
+        if now >= self.valid_until:
             return None
         return self.generation
 
@@ -111,7 +111,7 @@
         self.joined = True
         self.generation = place.generation
         holds = 0 in place.parts
-        self.until = (
+        self.valid_until = (
             sent + VALID_FRACTION * self.lease_seconds
             if holds
             else float("-inf")
@@ -123,7 +123,7 @@
 
     async def leave(self) -> None:
         """Gives the authority up, for a shutdown."""
-        self.until = float("-inf")
+        self.valid_until = float("-inf")
         self.joined = False
         if self.holds:
             self.holds = False
