--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -63,7 +63,7 @@
         )
         self.generation = 0
         self.valid_until = float("-inf")
-        self.holds = False
+        self.is_holder = False
 
     def token(self, now: float) -> int | None:
         """The fencing token of an order given now; None to give none."""
@@ -116,8 +116,8 @@
             if holds
             else float("-inf")
         )
-        if holds != self.holds:
-            self.holds = holds
+        if holds != self.is_holder:
+            self.is_holder = holds
             event = events.ORDERS_GAINED if holds else events.ORDERS_LOST
             events.log(event, token=place.generation)
 
@@ -125,8 +125,8 @@
         """Gives the authority up, for a shutdown."""
         self.valid_until = float("-inf")
         self.joined = False
-        if self.holds:
-            self.holds = False
+        if self.is_holder:
+            self.is_holder = False
             events.log(events.ORDERS_LOST, token=self.generation)
         asked = clocks.now()
         try:
