--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -78,11 +78,11 @@
                 break
             await asyncio.sleep(INITIAL_CHECK_SECONDS)
         while True:
-            await self.look()
+            await self.check()
             pause = self.lease_seconds / RENEWALS_PER_LEASE
             await asyncio.sleep(pause * random.uniform(0.8, 1.0))
 
-    async def look(self) -> None:
+    async def check(self) -> None:
         """Renews while this node offers to give orders, and a while longer.
 
         A few nodes of hundreds are enough, and each change of the group
