--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -24,7 +24,7 @@
 
 # Seconds between two looks for engines that were not asked yet, and for how
 # long after the start that is done.
-LOOK = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 LOOKS = 60
 # Seconds for one list; it waits for a pause in the engine's work.
 LIMIT = 1.0
@@ -68,7 +68,7 @@
                 self.learnt |= bool(self.asked)
             elif not self.gossip.reads() and not self.learnt:
                 await self.ask_relay()
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def ask_relay(self) -> None:
         """Learns from the relay what it knows by now."""
