--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -25,7 +25,7 @@
 # Seconds between two looks for engines that were not asked yet, and for how
 # long after the start that is done.
 CHECK_INTERVAL_SECONDS = 0.1
-LOOKS = 60
+MAX_CHECKS = 60
 # Seconds for one list; it waits for a pause in the engine's work.
 LIMIT = 1.0
 ENCODER = msgspec.msgpack.Encoder()
@@ -62,7 +62,7 @@
     async def run(self) -> None:
         """Asks in the first seconds: the engines, or the relay that did."""
         self.started = True
-        for _ in range(LOOKS):
+        for _ in range(MAX_CHECKS):
             if self.gossip.leads():
                 await self.look()
                 self.learnt |= bool(self.asked)
