--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -27,7 +27,7 @@
 CHECK_INTERVAL_SECONDS = 0.1
 MAX_CHECKS = 60
 # Seconds for one list; it waits for a pause in the engine's work.
-LIMIT = 1.0
+TIMEOUT_SECONDS = 1.0
 ENCODER = msgspec.msgpack.Encoder()
 
 
@@ -88,7 +88,7 @@
         ) as error:
             events.log(events.PEER_SILENT, reason=str(error))
             # Others ask it too; its link may be full of answers.
-            await asyncio.sleep(LIMIT)
+            await asyncio.sleep(TIMEOUT_SECONDS)
             return
         self.learnt = True
         for caches in found:
@@ -152,7 +152,7 @@
     async def ask(self, replica: types.Replica, service: types.Service) -> None:
         """Asks one engine; without its answer it counts as empty."""
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 found = await self.endpoints.cache_list(replica)
         except (
             exceptions.EndpointError,
