--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -52,7 +52,7 @@
         self.directory = directory
         self.configurations = configurations
         self.endpoints = endpoints
-        self.homes = homes
+        self.prefix_router = homes
         self.gossip = gossip
         self.questions = questions
         self.asked: set[str] = set()
@@ -106,8 +106,8 @@
         service = self.service(replica)
         if service is None:
             return
-        self.homes.cache_capacity = service.cache_tokens
-        self.homes.caches.add_hashes(
+        self.prefix_router.cache_capacity = service.cache_tokens
+        self.prefix_router.caches.add_hashes(
             caches.engine, caches.links, caches.tokens, service.cache_tokens
         )
 
@@ -116,7 +116,7 @@
         if self.started and not self.learnt:
             return b""
         found = []
-        for engine, kept in self.homes.caches.kept.items():
+        for engine, kept in self.prefix_router.caches.kept.items():
             replica = self.directory.replicas.get(engine)
             if replica is None:
                 continue
@@ -169,7 +169,7 @@
             replica.instance, found.started_at
         ):
             return
-        self.homes.cache_capacity = service.cache_tokens
-        self.homes.caches.add_blocks(
+        self.prefix_router.cache_capacity = service.cache_tokens
+        self.prefix_router.caches.add_blocks(
             replica.instance, found.blocks, service.cache_tokens
         )
