--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -57,7 +57,7 @@
         self.questions = questions
         self.asked: set[str] = set()
         self.started = False
-        self.learnt = False
+        self.has_lists = False
 
     async def run(self) -> None:
         """Asks in the first seconds: the engines, or the relay that did."""
@@ -65,8 +65,8 @@
         for _ in range(MAX_CHECKS):
             if self.gossip.leads():
                 await self.look()
-                self.learnt |= bool(self.asked)
-            elif not self.gossip.reads() and not self.learnt:
+                self.has_lists |= bool(self.asked)
+            elif not self.gossip.reads() and not self.has_lists:
                 await self.ask_relay()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
@@ -90,7 +90,7 @@
             # Others ask it too; its link may be full of answers.
             await asyncio.sleep(TIMEOUT_SECONDS)
             return
-        self.learnt = True
+        self.has_lists = True
         for caches in found:
             self.learn(caches)
 
@@ -113,7 +113,7 @@
 
     def told(self) -> bytes:
         """What this node believes of caches; empty while it still asks."""
-        if self.started and not self.learnt:
+        if self.started and not self.has_lists:
             return b""
         found = []
         for engine, kept in self.prefix_router.caches.kept.items():
