--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -92,9 +92,9 @@
             return
         self.has_lists = True
         for caches in found:
-            self.learn(caches)
+            self.apply_links(caches)
 
-    def learn(self, caches: questions_module.CacheLinks) -> None:
+    def apply_links(self, caches: questions_module.CacheLinks) -> None:
         """Takes in what the relay believes that one engine keeps."""
         replica = self.directory.replicas.get(caches.engine)
         if replica is None or incarnations.is_later_start(
