--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -111,7 +111,7 @@
             caches.engine, caches.links, caches.tokens, service.cache_tokens
         )
 
-    def told(self) -> bytes:
+    def encode_caches(self) -> bytes:
         """What this node believes of caches; empty while it still asks."""
         if self.started and not self.has_lists:
             return b""
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -153,7 +153,7 @@
         self.answers.sources[questions.CONFIGURATION] = lambda: (
             self.configurations.record
         )
-        self.answers.sources[questions.CACHES] = self.cache_lists.told
+        self.answers.sources[questions.CACHES] = self.cache_lists.encode_caches
         self.planner = planning.RolePlanner(
             self.leadership,
             self.directory,
