--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -64,7 +64,7 @@
         self.started = True
         for _ in range(MAX_CHECKS):
             if self.gossip.leads():
-                await self.look()
+                await self.ask_engines()
                 self.has_lists |= bool(self.asked)
             elif not self.gossip.reads() and not self.has_lists:
                 await self.ask_relay()
@@ -137,7 +137,7 @@
             return None
         return service
 
-    async def look(self) -> None:
+    async def ask_engines(self) -> None:
         """Asks the engines that were not asked yet."""
         async with asyncio.TaskGroup() as group:
             for replica in list(self.directory.replicas.values()):
