--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -244,7 +244,7 @@
         mock.Mock(),
     )
     service = types.Service("lm", 0, cache_tokens=MEMORY)
-    asyncio.run(lists.ask(context.directory.replicas[ENGINE], service))
+    asyncio.run(lists.ask_engine(context.directory.replicas[ENGINE], service))
 
 
 @behave.when("the engine's entry goes")
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -147,9 +147,11 @@
                 if replica.instance in self.asked:
                     continue
                 self.asked.add(replica.instance)
-                group.create_task(self.ask(replica, service))
+                group.create_task(self.ask_engine(replica, service))
 
-    async def ask(self, replica: types.Replica, service: types.Service) -> None:
+    async def ask_engine(
+        self, replica: types.Replica, service: types.Service
+    ) -> None:
         """Asks one engine; without its answer it counts as empty."""
         try:
             async with asyncio.timeout(TIMEOUT_SECONDS):
