--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -10,7 +10,7 @@
 
 # Seconds between two looks for replicas to ask, and the least where one broke
 # off: what it interrupted waits for the answer.
-LOOK = 0.1
+CHECK_INTERVAL_SECONDS = 0.1
 SOONEST_LOOK = 0.01
 # Seconds that a replica has to answer; a report takes 3 ms.
 LIMIT = 0.25
@@ -34,7 +34,7 @@
         while True:
             await asyncio.sleep(SOONEST_LOOK)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK):
+                async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                     await self.directory.probe_requested.wait()
             asked = self.directory.due_probes(time.monotonic())
             async with asyncio.TaskGroup() as group:
