--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -11,7 +11,7 @@
 # Seconds between two looks for replicas to ask, and the least where one broke
 # off: what it interrupted waits for the answer.
 CHECK_INTERVAL_SECONDS = 0.1
-SOONEST_LOOK = 0.01
+MIN_CHECK_INTERVAL_SECONDS = 0.01
 # Seconds that a replica has to answer; a report takes 3 ms.
 LIMIT = 0.25
 
@@ -32,7 +32,7 @@
     async def run(self) -> None:
         """Looks again and again for as long as the node runs."""
         while True:
-            await asyncio.sleep(SOONEST_LOOK)
+            await asyncio.sleep(MIN_CHECK_INTERVAL_SECONDS)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                     await self.directory.probe_requested.wait()
