--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -13,7 +13,7 @@
 CHECK_INTERVAL_SECONDS = 0.1
 MIN_CHECK_INTERVAL_SECONDS = 0.01
 # Seconds that a replica has to answer; a report takes 3 ms.
-LIMIT = 0.25
+TIMEOUT_SECONDS = 0.25
 
 
 class LivenessChecks:
@@ -48,7 +48,7 @@
             self.directory.suspects.discard(instance)
             return
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TIMEOUT_SECONDS):
                 state = await self.endpoints.state(replica)
         except (exceptions.EndpointMistaken, exceptions.EndpointGone):
             self.directory.process_ended(instance)
