--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -189,7 +189,7 @@
         role, False, 0, 0, 0, born
     )
     checks = liveness.LivenessChecks(context.directory, context.endpoints)
-    asyncio.run(checks.ask(ENGINE))
+    asyncio.run(checks.probe(ENGINE))
 
 
 @behave.when(
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -39,9 +39,9 @@
             asked = self.directory.due_probes(time.monotonic())
             async with asyncio.TaskGroup() as group:
                 for instance in asked:
-                    group.create_task(self.ask(instance))
+                    group.create_task(self.probe(instance))
 
-    async def ask(self, instance: str) -> None:
+    async def probe(self, instance: str) -> None:
         """Asks one replica; an answer of any other instance is none."""
         replica = self.directory.replicas.get(instance)
         if replica is None:
