--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -49,7 +49,7 @@
 from gypsumfold.platform import store as store_module
 
 # Seconds until a task that failed is started again, plus up to as much.
-RESTART = 0.2
+RESTART_SECONDS = 0.2
 # Seconds between two looks at the settings file, log lines and gauges.
 HOUSEKEEPING = 1.0
 # Seconds between two lines on calls to the store and what others were sent.
@@ -326,7 +326,7 @@
             except Exception as error:
                 # Whatever it was, one part must not take the node down.
                 events.log(events.TASK_FAILED, task=name, error=repr(error))
-            await asyncio.sleep(RESTART * (1 + random.random()))
+            await asyncio.sleep(RESTART_SECONDS * (1 + random.random()))
 
     async def housekeeping(self) -> None:
         """Looks after the settings file, log lines and gauges."""
