--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -51,7 +51,7 @@
 # Seconds until a task that failed is started again, plus up to as much.
 RESTART_SECONDS = 0.2
 # Seconds between two looks at the settings file, log lines and gauges.
-HOUSEKEEPING = 1.0
+HOUSEKEEPING_SECONDS = 1.0
 # Seconds between two lines on calls to the store and what others were sent.
 TRAFFIC_LINES = 10.0
 # Seconds for which a stopping node listens on: the balancer asks once a
@@ -334,7 +334,7 @@
         due = time.monotonic() + TRAFFIC_LINES
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(HOUSEKEEPING):
+                async with asyncio.timeout(HOUSEKEEPING_SECONDS):
                     await self.reload.wait()
             if self.reload.is_set() or stamp(self.path) != self.changed:
                 self.reload.clear()
