--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -53,7 +53,7 @@
 # Seconds between two looks at the settings file, log lines and gauges.
 HOUSEKEEPING_SECONDS = 1.0
 # Seconds between two lines on calls to the store and what others were sent.
-TRAFFIC_LINES = 10.0
+TRAFFIC_LOG_SECONDS = 10.0
 # Seconds for which a stopping node listens on: the balancer asks once a
 # second and takes a node out after two answers.
 NOTICE = 2.9
@@ -331,7 +331,7 @@
     async def housekeeping(self) -> None:
         """Looks after the settings file, log lines and gauges."""
         reported = 0
-        due = time.monotonic() + TRAFFIC_LINES
+        due = time.monotonic() + TRAFFIC_LOG_SECONDS
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(HOUSEKEEPING_SECONDS):
@@ -346,7 +346,7 @@
             self.count_known()
             self.lines.flush()
             if time.monotonic() >= due:
-                due += TRAFFIC_LINES
+                due += TRAFFIC_LOG_SECONDS
                 self.log_calls()
                 self.log_datagrams()
             if self.lines.dropped > reported:
