--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -56,7 +56,7 @@
 TRAFFIC_LOG_SECONDS = 10.0
 # Seconds for which a stopping node listens on: the balancer asks once a
 # second and takes a node out after two answers.
-NOTICE = 2.9
+DRAIN_NOTICE_SECONDS = 2.9
 # Seconds before the kill at which a stopping node gives its last answers.
 LAST = 0.7
 
@@ -430,7 +430,7 @@
         await asyncio.gather(
             self.leadership.leave(), self.gossip.entries.withdraw()
         )
-        await asyncio.sleep(min(NOTICE, grace / 2))
+        await asyncio.sleep(min(DRAIN_NOTICE_SECONDS, grace / 2))
         await self.server.stop_listening()
         end = started + grace - LAST
         await self.server.wait_until_idle(end - time.monotonic())
