--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -58,7 +58,7 @@
 # second and takes a node out after two answers.
 DRAIN_NOTICE_SECONDS = 2.9
 # Seconds before the kill at which a stopping node gives its last answers.
-LAST = 0.7
+FINAL_ANSWER_SECONDS = 0.7
 
 
 class Gateway:
@@ -432,7 +432,7 @@
         )
         await asyncio.sleep(min(DRAIN_NOTICE_SECONDS, grace / 2))
         await self.server.stop_listening()
-        end = started + grace - LAST
+        end = started + grace - FINAL_ANSWER_SECONDS
         await self.server.wait_until_idle(end - time.monotonic())
         for task in self.tasks.values():
             task.cancel()
