--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -80,7 +80,7 @@
         self.member = f"{settings.node.name}-{uuid6.uuid7().hex[:16]}"
         self.stop = asyncio.Event()
         self.reload = asyncio.Event()
-        self.changed = stamp(path)
+        self.settings_modified_at = stamp(path)
         self.tasks: dict[str, asyncio.Task] = {}
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=16, force_close=True)
@@ -336,7 +336,10 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(HOUSEKEEPING_SECONDS):
                     await self.reload.wait()
-            if self.reload.is_set() or stamp(self.path) != self.changed:
+            if (
+                self.reload.is_set()
+                or stamp(self.path) != self.settings_modified_at
+            ):
                 self.reload.clear()
                 self.reload_settings()
             self.directory.expire(time.monotonic())
@@ -408,7 +411,7 @@
 
         Addresses stay until the next start: connections are open on them.
         """
-        self.changed = stamp(self.path)
+        self.settings_modified_at = stamp(self.path)
         try:
             self.settings = settings_module.load(self.path)
         except exceptions.SettingsError as error:
