--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -103,13 +103,13 @@
         )
         if not settings.node.first_start:
             self.budget.started_at = time.monotonic()
-        self.homes = prefix_routing_module.PrefixRouter()
+        self.prefix_router = prefix_routing_module.PrefixRouter()
         self.counters = counters_module.Counters()
         self.generations = generations.Generations(
             self.directory,
             self.endpoints,
             self.budget,
-            self.homes,
+            self.prefix_router,
             self.quarantine,
         )
         self.handler = handling.Handler(
@@ -132,7 +132,7 @@
         self.gossip = gossip_module.Gossip(
             settings,
             self.store,
-            self.homes,
+            self.prefix_router,
             self.leadership,
             self.directory,
             self.quarantine,
@@ -145,7 +145,7 @@
             self.directory,
             self.configurations,
             self.endpoints,
-            self.homes,
+            self.prefix_router,
             self.gossip,
             self.questions,
         )
@@ -160,7 +160,7 @@
             self.configurations,
             self.endpoints,
             self.gossip,
-            self.homes,
+            self.prefix_router,
         )
         self.liveness = liveness.LivenessChecks(self.directory, self.endpoints)
         self.registrations = registrations_module.Registrations(
@@ -230,7 +230,7 @@
     def forget(self, replica: types.Replica) -> None:
         """Drops what is kept for a replica that is gone."""
         self.pool.discard(replica.address, replica.instance)
-        self.homes.forget(replica.instance)
+        self.prefix_router.forget(replica.instance)
 
     def registrations_pause(self) -> float:
         """Seconds until the registrations are read again.
