--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -168,7 +168,7 @@
         gateway.supervise("crash-news", gateway.gossip.crash_news.run)
         for name, watch in gateway.watches.items():
             gateway.supervise(f"watch-{name}", watch.run)
-        gateway.supervise("fetch", gateway.knowledge.fetch)
+        gateway.supervise("fetch", gateway.store_copy.fetch)
         gateway.supervise("leadership", gateway.leadership.run)
         gateway.supervise("housekeeping", gateway.housekeeping)
         if self.site.fleet is not None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -167,7 +167,7 @@
             self.directory, self.store_state
         )
         self.watches = self.make_watches()
-        self.knowledge = knowledge_module.StoreCopy(
+        self.store_copy = knowledge_module.StoreCopy(
             self.registrations,
             self.configurations,
             self.watches["registrations"],
@@ -176,11 +176,11 @@
             self.questions,
             self.limits,
         )
-        self.gossip.summaries.knowledge = self.knowledge
+        self.gossip.summaries.knowledge = self.store_copy
         self.registrations.on_change = self.gossip.read
         self.configurations.listeners.append(lambda _: self.gossip.read())
         self.answers.sources[questions.REGISTRATIONS] = (
-            self.knowledge.encode_registrations
+            self.store_copy.encode_registrations
         )
         self.leadership.is_candidate = self.gossip.may_lead
         self.directory.removal_listeners.append(self.forget)
@@ -278,7 +278,7 @@
         self.supervise("crash-news", self.gossip.crash_news.run)
         for name, watch in self.watches.items():
             self.supervise(f"watch-{name}", watch.run)
-        self.supervise("fetch", self.knowledge.fetch)
+        self.supervise("fetch", self.store_copy.fetch)
         self.supervise("leadership", self.leadership.run)
         self.supervise("planner", self.planner.run)
         self.supervise("housekeeping", self.housekeeping)
