--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -257,7 +257,7 @@
             self.registrations_pause(), longest, self.limits
         )
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether the balancer is to send connections here."""
         if self.stop.is_set() or self.configurations.current is None:
             return False
@@ -308,7 +308,7 @@
         """Tells the balancer whether this node is ready."""
         if request.path != names.READY_PATH:
             return web.Response(status=404)
-        return web.Response(status=200 if self.ready() else 503)
+        return web.Response(status=200 if self.is_ready() else 503)
 
     def supervise(
         self, name: str, function: Callable[[], Awaitable[None]]
