--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -314,9 +314,11 @@
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
         """Runs a task until the node stops; starts it again if it fails."""
-        self.tasks[name] = asyncio.create_task(self.keep(name, function))
+        self.tasks[name] = asyncio.create_task(
+            self.keep_running(name, function)
+        )
 
-    async def keep(
+    async def keep_running(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
         """Runs one task again and again."""
