--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -348,7 +348,7 @@
             self.share_retries()
             self.counters.open_requests.set(len(self.server.busy))
             self.counters.unusable.set(self.registrations.unreadable)
-            self.count_known()
+            self.update_gauges()
             self.lines.flush()
             if time.monotonic() >= due:
                 due += TRAFFIC_LOG_SECONDS
@@ -375,7 +375,7 @@
         self.budget.nodes = nodes
         self.budget.partitioned = apart
 
-    def count_known(self) -> None:
+    def update_gauges(self) -> None:
         """Sets the gauges of what this node knows, and by whom."""
         age = self.watches["registrations"].staleness.age(clocks.now())
         self.counters.nodes.set(self.gossip.nodes())
