--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -80,7 +80,7 @@
         self.member = f"{settings.node.name}-{uuid6.uuid7().hex[:16]}"
         self.stop = asyncio.Event()
         self.reload = asyncio.Event()
-        self.settings_modified_at = stamp(path)
+        self.settings_modified_at = modified_at(path)
         self.tasks: dict[str, asyncio.Task] = {}
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=16, force_close=True)
@@ -340,7 +340,7 @@
                     await self.reload.wait()
             if (
                 self.reload.is_set()
-                or stamp(self.path) != self.settings_modified_at
+                or modified_at(self.path) != self.settings_modified_at
             ):
                 self.reload.clear()
                 self.reload_settings()
@@ -413,7 +413,7 @@
 
         Addresses stay until the next start: connections are open on them.
         """
-        self.settings_modified_at = stamp(self.path)
+        self.settings_modified_at = modified_at(self.path)
         try:
             self.settings = settings_module.load(self.path)
         except exceptions.SettingsError as error:
@@ -455,7 +455,7 @@
     return retry_budget.Policy(retries.share, retries.window_s, retries.slack)
 
 
-def stamp(path: pathlib.Path) -> int:
+def modified_at(path: pathlib.Path) -> int:
     """When a file was changed; 0 where it cannot be read."""
     try:
         return os.stat(path).st_mtime_ns
