--- a/packages/gypsumfold/src/gypsumfold/gateway/settings.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/settings.py
@@ -9,7 +9,7 @@
 
 # Megabits a second that relaying for a data centre may take; a node whose link
 # has less relays where no other can, so that its power counts little.
-RELAY_LINK_MBPS = 50.0
+MIN_RELAY_LINK_MBPS = 50.0
 SMALL_LINK_WEIGHT = 0.002
 
 
@@ -41,7 +41,7 @@
         full before a small processor is busy.
         """
         power = self.core_share * self.core_speed
-        if self.link_mbps < RELAY_LINK_MBPS:
+        if self.link_mbps < MIN_RELAY_LINK_MBPS:
             return power * SMALL_LINK_WEIGHT
         return power
 
