--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -87,7 +87,7 @@
             node.name,
             node.data_centre,
             messages.socket_address(self.address),
-            node.power,
+            node.relay_capacity,
         )
         self.members = members_module.Members(own)
         self.relays = relays_module.Relays(self.members)
--- a/packages/gypsumfold/src/gypsumfold/gateway/settings.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/settings.py
@@ -34,7 +34,7 @@
     link_mbps: float = 1000.0
 
     @property
-    def power(self) -> float:
+    def relay_capacity(self) -> float:
         """What the VM can do for other nodes, in plain cores.
 
         A relay sends all news of the site to dozens of nodes; a small link is
