--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -13,7 +13,7 @@
 from gypsumfold.decisions import prefix_routing as prefix_routing_module
 from gypsumfold.gateway import registrations as registrations_module
 from gypsumfold.gateway import settings as settings_module
-from gypsumfold.gateway import watching
+from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway.peers import frames
 from gypsumfold.gateway.peers import messages
 from gypsumfold.platform import decoding
@@ -168,7 +168,7 @@
     gossip = made_up.gossip()
     context.directory = gossip.directory
     context.registrations = registrations_module.Registrations(
-        context.directory, watching.StoreState(3.0)
+        context.directory, topic_watches.StoreState(3.0)
     )
 
 
--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -15,7 +15,7 @@
 from gypsumfold import exceptions
 from gypsumfold.decisions import polling
 from gypsumfold.decisions import read_timeouts
-from gypsumfold.gateway import watching
+from gypsumfold.gateway import topic_watches
 from gypsumfold.platform import names
 from gypsumfold.platform import store as store_module
 
@@ -252,9 +252,9 @@
     async def story():
         path = virtual_store.Path()
         store = virtual_store.Store(site.log, path)
-        watch = watching.TopicWatch(
+        watch = topic_watches.TopicWatch(
             store,
-            watching.StoreState(CONTACT),
+            topic_watches.StoreState(CONTACT),
             names.CONFIGURATION_TOPIC,
             consumer,
             lambda: 0.0,
@@ -305,9 +305,9 @@
         store = store_module.Store("127.0.0.1:1")
         store.call = mock.AsyncMock(return_value=context.page)
         consumer = mock.Mock()
-        state = watching.StoreState(CONTACT)
+        state = topic_watches.StoreState(CONTACT)
         topic = names.CONFIGURATION_TOPIC
-        watch = watching.TopicWatch(
+        watch = topic_watches.TopicWatch(
             store, state, topic, consumer, lambda: 0.0, lambda: 1.0
         )
         watch.position = context.start
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -16,8 +16,8 @@
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import knowledge
 from gypsumfold.gateway import registrations as registrations_module
+from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
-from gypsumfold.gateway import watching
 from gypsumfold.gateway.peers import frames
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import seals
@@ -362,10 +362,10 @@
 def relay_knowledge(reads=lambda: True):
     """What a relay knows that has read both topics once; or a follower."""
     gossip = made_up.gossip()
-    state = watching.StoreState(3.0)
+    state = topic_watches.StoreState(3.0)
     watches = []
     for _ in range(2):
-        watch = watching.TopicWatch(
+        watch = topic_watches.TopicWatch(
             mock.Mock(),
             state,
             "",
@@ -477,9 +477,9 @@
 )
 def step_forgetful(context):
     context.store = ForgetfulStore()
-    context.watch = watching.TopicWatch(
+    context.watch = topic_watches.TopicWatch(
         context.store,
-        watching.StoreState(3.0),
+        topic_watches.StoreState(3.0),
         "",
         mock.Mock(),
         lambda: 0.0,
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -23,8 +23,8 @@
 from gypsumfold.gateway import quarantine
 from gypsumfold.gateway import registrations as registrations_module
 from gypsumfold.gateway import runs
+from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
-from gypsumfold.gateway import watching
 from gypsumfold.gateway.peers import frames
 from gypsumfold.gateway.peers import messages
 from gypsumfold.platform import store as store_module
@@ -129,7 +129,7 @@
         lambda replica: context.homes.forget(replica.instance)
     )
     context.registrations = registrations_module.Registrations(
-        context.directory, watching.StoreState(3.0)
+        context.directory, topic_watches.StoreState(3.0)
     )
     context.registrations.update([entry(born)])
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -40,8 +40,8 @@
 from gypsumfold.gateway import runs as runs_module
 from gypsumfold.gateway import server as server_module
 from gypsumfold.gateway import settings as settings_module
+from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
-from gypsumfold.gateway import watching
 from gypsumfold.gateway.peers import gossip as gossip_module
 from gypsumfold.gateway.peers import questions
 from gypsumfold.platform import names
@@ -89,7 +89,9 @@
         self.logged_calls: collections.Counter[str] = collections.Counter()
         self.logged_bytes: collections.Counter[str] = collections.Counter()
         self.limits = read_timeouts.derive(settings.store.contact_ms / 1000)
-        self.store_state = watching.StoreState(settings.store.contact_ms / 1000)
+        self.store_state = topic_watches.StoreState(
+            settings.store.contact_ms / 1000
+        )
         rng = random.Random()
         self.directory = directory_module.Directory(rng)
         self.quarantine = quarantine_module.Quarantine(
@@ -186,11 +188,11 @@
         self.directory.removal_listeners.append(self.forget)
         self.runners: list[web.ServerRunner] = []
 
-    def make_watches(self) -> dict[str, watching.TopicWatch]:
+    def make_watches(self) -> dict[str, topic_watches.TopicWatch]:
         """What is followed in the store, each by a task of its own."""
         bound = self.settings.replicas.leaving_ms / 1000
         watches = {
-            "configuration": watching.TopicWatch(
+            "configuration": topic_watches.TopicWatch(
                 self.store.reader(self.limits.answer),
                 self.store_state,
                 names.CONFIGURATION_TOPIC,
@@ -199,7 +201,7 @@
                 lambda: self.limits.wait,
                 bound,
             ),
-            "registrations": watching.TopicWatch(
+            "registrations": topic_watches.TopicWatch(
                 self.store.reader(self.limits.answer),
                 self.store_state,
                 names.REGISTRATIONS_TOPIC,
@@ -208,12 +210,12 @@
                 self.registrations_wait,
                 bound,
             ),
-            "nodes": watching.TopicWatch(
+            "nodes": topic_watches.TopicWatch(
                 self.store.reader(self.limits.answer),
                 self.store_state,
                 names.NODES_TOPIC,
                 self.gossip.entries,
-                lambda: watching.REREAD_SECONDS,
+                lambda: topic_watches.REREAD_SECONDS,
                 lambda: self.limits.wait,
             ),
         }
--- a/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/knowledge.py
@@ -17,7 +17,7 @@
 from gypsumfold.decisions import topic_staleness
 from gypsumfold.gateway import configurations as configurations_module
 from gypsumfold.gateway import registrations as registrations_module
-from gypsumfold.gateway import watching
+from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import questions as questions_module
 
@@ -42,8 +42,8 @@
         self,
         registrations: registrations_module.Registrations,
         configurations: configurations_module.Configurations,
-        registrations_watch: watching.TopicWatch,
-        configuration_watch: watching.TopicWatch,
+        registrations_watch: topic_watches.TopicWatch,
+        configuration_watch: topic_watches.TopicWatch,
         is_reader: Callable[[], bool],
         questions: questions_module.Questions,
         limits: read_timeouts_module.ReadTimeouts,
@@ -76,7 +76,10 @@
             events.log(
                 events.KNOWLEDGE_DOUBTED,
                 age=round(
-                    min(watch.staleness.age(now), watching.MAX_AGE_SECONDS), 3
+                    min(
+                        watch.staleness.age(now), topic_watches.MAX_AGE_SECONDS
+                    ),
+                    3,
                 ),
                 differs=watch.staleness.differing_since is not None,
             )
@@ -262,4 +265,4 @@
 ) -> float:
     """The age of what is known, as it is sent."""
     known_at = known.read_at if between_relays else known.known_at
-    return round(min(now - known_at, watching.MAX_AGE_SECONDS), 3)
+    return round(min(now - known_at, topic_watches.MAX_AGE_SECONDS), 3)
--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -15,7 +15,7 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold.gateway import settings as settings_module
-from gypsumfold.gateway import watching
+from gypsumfold.gateway import topic_watches
 from gypsumfold.platform import store as store_module
 
 # The group of all nodes, and the topic whose partition 0 is the authority.
@@ -48,7 +48,7 @@
         self,
         settings: settings_module.Settings,
         store: store_module.Store,
-        state: watching.StoreState,
+        state: topic_watches.StoreState,
         member: str,
     ):
         self.store = store
--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -10,8 +10,8 @@
 from gypsumfold import exceptions
 from gypsumfold.decisions import registry as registry_module
 from gypsumfold.gateway import directory as directory_module
+from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
-from gypsumfold.gateway import watching
 from gypsumfold.platform import decoding
 from gypsumfold.platform import store as store_module
 
@@ -40,7 +40,9 @@
     """
 
     def __init__(
-        self, directory: directory_module.Directory, state: watching.StoreState
+        self,
+        directory: directory_module.Directory,
+        state: topic_watches.StoreState,
     ):
         self.directory = directory
         self.state = state
