--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -8,7 +8,7 @@
 
 from gypsumfold.decisions import role_split
 from gypsumfold.decisions import types
-from gypsumfold.gateway import planning
+from gypsumfold.gateway import role_planning
 from gypsumfold.gateway import types as gateway_types
 
 # Seconds between two looks of the planner.
@@ -246,7 +246,7 @@
         directory.put(engine(f"i-{place}", types.Role.PREFILL))
     directory.put(engine(STEADY, types.Role.DECODE))
     directory.put(engine(ORDERED, types.Role.PREFILL))
-    context.planner = planning.RolePlanner(
+    context.planner = role_planning.RolePlanner(
         mock.Mock(),
         directory,
         mock.Mock(),
@@ -271,7 +271,9 @@
 )
 def step_unshown(context):
     planner = context.planner
-    planner.pending[ORDERED] = planning.PendingOrder(types.Role.DECODE, 200.0)
+    planner.pending[ORDERED] = role_planning.PendingOrder(
+        types.Role.DECODE, 200.0
+    )
     plan(context)
     # The change before was long enough ago for another one.
     planner.splits["lm"].changed_at = context.now - role_split.SETTLE_SECONDS
@@ -279,7 +281,9 @@
 
 def plan(context):
     """Has the planner look once."""
-    with mock.patch.object(planning.time, "monotonic", lambda: context.now):
+    with mock.patch.object(
+        role_planning.time, "monotonic", lambda: context.now
+    ):
         asyncio.run(context.planner.plan(SERVICE))
 
 
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -17,11 +17,11 @@
 from gypsumfold.gateway import cache_lists
 from gypsumfold.gateway import generations
 from gypsumfold.gateway import liveness
-from gypsumfold.gateway import planning
 from gypsumfold.gateway import prefills
 from gypsumfold.gateway import progress as progress_module
 from gypsumfold.gateway import quarantine
 from gypsumfold.gateway import registrations as registrations_module
+from gypsumfold.gateway import role_planning
 from gypsumfold.gateway import runs
 from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
@@ -117,7 +117,7 @@
     context.directory = context.gossip.directory
     context.homes = context.gossip.loads.homes
     context.endpoints = mock.AsyncMock()
-    context.planner = planning.RolePlanner(
+    context.planner = role_planning.RolePlanner(
         mock.Mock(),
         context.directory,
         mock.Mock(),
@@ -147,7 +147,7 @@
     directory.started(ENGINE, now - 1)
     directory.suspect(ENGINE, now)
     context.homes.caches.add(ENGINE, CHAIN, "m", MEMORY)
-    context.planner.pending[ENGINE] = planning.PendingOrder(
+    context.planner.pending[ENGINE] = role_planning.PendingOrder(
         decision_types.Role.PREFILL, now + 60
     )
     context.gossip.changed_role(ENGINE, decision_types.Role.PREFILL, 60)
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -34,9 +34,9 @@
 from gypsumfold.gateway import line_writer as line_writer_module
 from gypsumfold.gateway import liveness
 from gypsumfold.gateway import plain_calls
-from gypsumfold.gateway import planning
 from gypsumfold.gateway import quarantine as quarantine_module
 from gypsumfold.gateway import registrations as registrations_module
+from gypsumfold.gateway import role_planning
 from gypsumfold.gateway import runs as runs_module
 from gypsumfold.gateway import server as server_module
 from gypsumfold.gateway import settings as settings_module
@@ -156,7 +156,7 @@
             self.configurations.record
         )
         self.answers.sources[questions.CACHES] = self.cache_lists.encode_caches
-        self.planner = planning.RolePlanner(
+        self.planner = role_planning.RolePlanner(
             self.leadership,
             self.directory,
             self.configurations,
