--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -14,8 +14,8 @@
 from gypsumfold.decisions import registry
 from gypsumfold.decisions import topic_staleness
 from gypsumfold.gateway import configurations as configurations_module
-from gypsumfold.gateway import knowledge
 from gypsumfold.gateway import registrations as registrations_module
+from gypsumfold.gateway import store_copy
 from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
 from gypsumfold.gateway.peers import frames
@@ -377,7 +377,7 @@
         watch.has_read_all = True
         watch.staleness.record_read(0.0)
         watches.append(watch)
-    return knowledge.StoreCopy(
+    return store_copy.StoreCopy(
         registrations_module.Registrations(gossip.directory, state),
         configurations_module.Configurations(),
         *watches,
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -29,7 +29,6 @@
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import generations
 from gypsumfold.gateway import handling
-from gypsumfold.gateway import knowledge as knowledge_module
 from gypsumfold.gateway import leadership as leadership_module
 from gypsumfold.gateway import line_writer as line_writer_module
 from gypsumfold.gateway import liveness
@@ -40,6 +39,7 @@
 from gypsumfold.gateway import runs as runs_module
 from gypsumfold.gateway import server as server_module
 from gypsumfold.gateway import settings as settings_module
+from gypsumfold.gateway import store_copy as store_copy_module
 from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
 from gypsumfold.gateway.peers import gossip as gossip_module
@@ -169,7 +169,7 @@
             self.directory, self.store_state
         )
         self.watches = self.make_watches()
-        self.store_copy = knowledge_module.StoreCopy(
+        self.store_copy = store_copy_module.StoreCopy(
             self.registrations,
             self.configurations,
             self.watches["registrations"],
