--- a/features/steps/crash_log_steps.py
+++ b/features/steps/crash_log_steps.py
@@ -201,7 +201,7 @@
 @behave.when("the replica answers the next question")
 def step_answers(context):
     interrupt(context)
-    context.directory.answered(REPLICA.instance)
+    context.directory.replica_answered(REPLICA.instance)
     context.directory.process_ended(REPLICA.instance)
 
 
--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -128,7 +128,11 @@
         for section, _ in nodes:
             found.append(
                 members_module.Member(
-                    section.name, section.name, "dc", ("h", 1), section.power
+                    section.name,
+                    section.name,
+                    "dc",
+                    ("h", 1),
+                    section.relay_capacity,
                 )
             )
         members = members_module.Members(found[0])
@@ -156,7 +160,7 @@
         context.relaying,
         mock.Mock(site=lambda now: messages.Amounts({}, {}, {}, {})),
         sender,
-        mock.Mock(changing={}),
+        mock.Mock(changing_until={}),
         context.bandwidth,
     )
     for number in range(nodes):
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -277,7 +277,7 @@
         node.gossip.directory.replicas[ENGINE] = replica
     relay = next(iter(site.relays()["dc-0"]))
     gossip = site.nodes[relay].gossip
-    gossip.directory.close(ENGINE, site.now + 4)
+    gossip.directory.close_until(ENGINE, site.now + 4)
     gossip.closed(ENGINE, 4)
 
 
@@ -286,7 +286,7 @@
     site = context.site
     site.run(seconds)
     for node in site.nodes.values():
-        until = node.gossip.directory.changing.get(ENGINE, 0.0)
+        until = node.gossip.directory.changing_until.get(ENGINE, 0.0)
         assert until > site.now, node.name
 
 
@@ -407,7 +407,7 @@
 
 @behave.then("it reads the configuration, and has asked no node for it")
 def step_reads(context):
-    assert context.knowledge.reads_configuration()
+    assert context.knowledge.should_read_configuration()
     asyncio.run(context.knowledge.fetch_configuration())
     context.knowledge.questions.ask.assert_not_called()
 
@@ -452,7 +452,7 @@
 @behave.then("each knows that what it knows is at least {age:g} seconds old")
 def step_old(context, age):
     for one in context.pair:
-        found = one.registrations_watch.following.age(context.now)
+        found = one.registrations_watch.staleness.age(context.now)
         assert found >= age, found
 
 
@@ -493,7 +493,7 @@
         task = asyncio.create_task(context.watch.run())
         while context.store.newest_calls < 2 and context.store.read_calls < 4:
             await asyncio.sleep(0.01)
-            context.watch.trust(10, clocks.now())
+            context.watch.confirm_relayed(10, clocks.now())
         task.cancel()
 
     asyncio.run(tell())
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -138,13 +138,13 @@
 def step_believed(context):
     now = time.monotonic()
     directory = context.directory
-    directory.confirm(ENGINE, decision_types.Role.PREFILL, now + 60)
-    directory.close(ENGINE, now + 60)
+    directory.confirm_role(ENGINE, decision_types.Role.PREFILL, now + 60)
+    directory.close_until(ENGINE, now + 60)
     directory.pause(ENGINE, now, 60)
     directory.health.failed(ENGINE, True, now)
     directory.health.failed(ENGINE, True, now)
     directory.streams.add(ENGINE, 0.5)
-    directory.started(ENGINE, now - 1)
+    directory.request_started(ENGINE, now - 1)
     directory.suspect(ENGINE, now)
     context.homes.caches.add(ENGINE, CHAIN, "m", MEMORY)
     context.planner.pending[ENGINE] = role_planning.PendingOrder(
@@ -158,14 +158,14 @@
     now = time.monotonic()
     directory = context.directory
     found = {
-        "role": ENGINE in directory.confirmed,
-        "closed": directory.changing.get(ENGINE, -math.inf) > now,
-        "paused": directory.paused.get(ENGINE, -math.inf) > now,
+        "role": ENGINE in directory.confirmed_roles,
+        "closed": directory.changing_until.get(ENGINE, -math.inf) > now,
+        "paused": directory.paused_until.get(ENGINE, -math.inf) > now,
         "failing": not directory.health.is_allowed(ENGINE, now),
         "streams": directory.streams.total(ENGINE, now) > 0,
         "silent": ENGINE in directory.suspects,
         "owing": ENGINE in directory.silence.last_byte_at,
-        "leaving": ENGINE in directory.leaving,
+        "leaving": ENGINE in directory.draining_since,
         "cached": context.homes.caches.cached(ENGINE, CHAIN, "m") > 0,
         "ordered": ENGINE in context.planner.pending,
         "told": ENGINE in context.gossip.outbox.roles,
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -257,7 +257,7 @@
 
         Args:
             service: The service.
-            reads: Whether engines that read prompts are wanted.
+            prefill: Whether to return prefill engines, not decode engines.
             now: The time.
             avoid: Instances that failed this request before.
         """
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -108,7 +108,8 @@
         """What other nodes are sent; None at a start.
 
         Args:
-            between: Whether it is sent to other relays, which send to this one.
+            between_relays: Whether it is sent to other relays, which send to
+                this one.
         """
         registrations = self.registrations_watch
         configuration = self.configuration_watch
@@ -141,7 +142,7 @@
         Args:
             knowledge: What it sent.
             address: Where it answers questions.
-            between: Whether it sends that to other relays, which is just what
+            between_relays: Whether it sends that to other relays, which is just what
                 it has read itself.
         """
         now = clocks.now()
--- a/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
@@ -62,7 +62,7 @@
         """Notes that another node says that the store was there all along.
 
         Args:
-            own: Whether it knows that by its own calls.
+            first_hand: Whether it knows that by its own calls.
         """
         self.contact.confirm(first_hand, clocks.now())
 
@@ -70,7 +70,8 @@
         """Seconds for which a missing entry is believed, as sent to others.
 
         Args:
-            between: Whether it is sent to those who might pass it on.
+            between_relays: Whether it is sent to other relays, which may
+                forward it.
         """
         return self.contact.shared_grace(between_relays, clocks.now())
 
