--- a/packages/gypsumfold/src/gypsumfold/gateway/main.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/main.py
@@ -15,7 +15,7 @@
 from gypsumfold.gateway import settings as settings_module
 
 # Exit code of a settings file that cannot be used (sysexits EX_CONFIG).
-EXIT_CONFIG = 78
+EXIT_SETTINGS = 78
 # Where the platform names the settings file.
 SETTINGS_VARIABLE = "GYPSUMFOLD_SETTINGS"
 
@@ -32,7 +32,7 @@
         settings = settings_module.load(file)
     except exceptions.SettingsError as error:
         click.echo(str(error), err=True)
-        sys.exit(EXIT_CONFIG)
+        sys.exit(EXIT_SETTINGS)
     lines = line_writer_module.NonBlockingLineWriter(sys.stdout.fileno())
     events.configure(settings.node.name, lines)
     uvloop.run(serve(settings, file, lines))
