--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -20,7 +20,7 @@
 class Knowledge(Protocol):
     """What this node knows from the store."""
 
-    def outgoing(self, between: bool) -> messages.Knowledge | None:
+    def outgoing(self, between_relays: bool) -> messages.Knowledge | None:
         """What nodes are sent that follow this one, or other relays."""
 
     def receive(
