--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -27,7 +27,7 @@
         self,
         knowledge: messages.Knowledge,
         address: tuple[str, int],
-        between: bool,
+        between_relays: bool,
     ) -> None:
         """Takes in what a relay knows, and where it answers questions."""
 
