--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -71,8 +71,8 @@
         if self.is_reader() or not watch.has_read_all:
             return True
         now = clocks.now()
-        doubtful = watch.staleness.is_stale(now)
-        if doubtful and not self.was_stale:
+        stale = watch.staleness.is_stale(now)
+        if stale and not self.was_stale:
             events.log(
                 events.KNOWLEDGE_DOUBTED,
                 age=round(
@@ -83,8 +83,8 @@
                 ),
                 differs=watch.staleness.differing_since is not None,
             )
-        self.was_stale = doubtful
-        return doubtful
+        self.was_stale = stale
+        return stale
 
     def should_read_configuration(self) -> bool:
         """Whether this node is to read the configuration now.
