--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -142,8 +142,8 @@
         Args:
             knowledge: What it sent.
             address: Where it answers questions.
-            between_relays: Whether it sends that to other relays, which is just what
-                it has read itself.
+            between_relays: Whether it came from another relay, which sends
+                only what it has read itself.
         """
         now = clocks.now()
         watch = self.registrations_watch
