--- a/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/bandwidth.py
@@ -1,18 +1,17 @@
-"""How much of a VM's link nodes use for what they tell each other.
+"""Limits the share of a VM's link that messages between nodes use.
 
-Load pattern: one node passes news of dozens on to dozens, over a link of
-10 Mbit/s that its requests use too. The news grow with the requests and with
-what goes wrong, so that they are most when the link is needed most; a request
-that waits behind them reaches its replica after its caller has left.
+Load pattern: one node forwards updates from dozens of nodes to dozens, over a
+link of 10 Mbit/s that its requests use too. Updates grow with the requests and
+with failures, so they are most frequent when the link is needed most. A
+request that queues behind them reaches its replica after its caller has left.
 """
 
-# Shares of the link for news of requests that may crash replicas, and for
-# sums and hints; requests and answers have the rest.
+# Shares of the link for updates on requests that may crash replicas, and for
+# load totals and hints; requests and answers have the rest.
 CRASHES_SHARE = 0.1
 SUMMARIES_SHARE = 0.4
-# Seconds of its rate that a bucket holds.
+# Size of the bucket, in seconds at its fill rate.
 BURST_SECONDS = 0.2
-# Bits of a byte, and of a megabit.
 BITS_PER_BYTE = 8
 BITS_PER_MEGABIT = 1e6
 
@@ -22,7 +21,7 @@
 
     >>> bandwidth = Bandwidth(link_mbps=10.0, share=0.1)
     >>> bandwidth.spend(20_000, now=0.0)
-    >>> bandwidth.left(now=0.1)
+    >>> bandwidth.available(now=0.1)
     17500.0
     """
 
@@ -32,7 +31,7 @@
         self.filled_at: float | None = None
 
     def available(self, now: float) -> float:
-        """Bytes that may be sent now; below zero while there is a debt."""
+        """Returns the bytes that may be sent now; negative while overdrawn."""
         if self.filled_at is not None:
             self.tokens += (now - self.filled_at) * self.rate
         self.filled_at = now
@@ -40,6 +39,9 @@
         return self.tokens
 
     def spend(self, size: int, now: float) -> None:
-        """Takes bytes out that were sent; what must be sent makes a debt."""
+        """Deducts sent bytes.
+
+        Messages that can't wait are sent anyway and overdraw the bucket.
+        """
         self.available(now)
         self.tokens -= size
--- a/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/canaries.py
@@ -1,24 +1,26 @@
-"""Where requests run that may have crashed a replica: one for each replica.
+"""Runs requests that may have crashed a replica one at a time per replica.
 
 Load pattern: a crash has interrupted dozens of requests, one of which may have
-caused it, and all come again at once. Sent together, the next crash leaves all
-of them suspected again. A canary is the only suspect on its replica, so that a
-second crash points at it alone, and one copy of it runs at a time.
+caused it, and callers retry all of them at once. If they run together, the next
+crash leaves all of them suspected again. A canary is the only suspect on its
+replica, so a second crash identifies it, and only one copy of it runs at a
+time.
 """
 
 import math
 from typing import NamedTuple
 
-# Seconds for which another node's canary is taken to run without news of it.
+# Seconds after which another node's canary counts as ended without an update.
 LIFETIME_SECONDS = 1.5
-# Seconds for which an interrupted request waits until it is known whether its
-# replica crashed: a question to the replica and a message to all nodes.
+# Seconds for which an interrupted request is held until it is known whether its
+# replica crashed: the time of a query to the replica and a message to all
+# nodes.
 HOLD_SECONDS = 0.5
-# Seconds for which the end of a canary is sent to other nodes.
+# Seconds for which an ended canary is kept and its end sent to other nodes.
 ENDED_SECONDS = 1.0
-# How often what changes is sent, as datagrams may be lost, and seconds until a
-# canary that runs on is sent again.
+# How often a change is sent, since datagrams may be lost.
 SEND_TIMES = 3
+# Seconds after which a canary that is still running is sent again.
 REPEAT_SECONDS = LIFETIME_SECONDS / 3
 
 
@@ -26,12 +28,12 @@
     """One canary of one node.
 
     Attributes:
-        fingerprint: The request.
+        fingerprint: The request's fingerprint.
         owner: The node that runs it.
-        number: Increases with each canary of its owner; what is still on its
-            way of an earlier one does not bring that back.
-        instance: Where it runs.
-        until: When it is taken to have ended.
+        number: Increases with each canary of its owner, so that late messages
+            about an earlier canary are ignored.
+        instance: The replica that runs it.
+        until: When it counts as ended.
     """
 
     fingerprint: int
@@ -42,7 +44,7 @@
 
 
 class Canaries:
-    """The canaries of all nodes, as far as they are known here.
+    """The canaries of all nodes, as far as this node knows them.
 
     >>> canaries = Canaries(owner=1)
     >>> canaries.start(7, "engine-1")
@@ -54,20 +56,20 @@
         self.owner = owner
         self.number = 0
         self.known: dict[tuple[int, int], Canary] = {}
-        # How often each is still to be sent, and when it was sent last.
+        # How many more times each is sent, and when it was last sent.
         self.pending_sends: dict[tuple[int, int], int] = {}
         self.sent_at: dict[tuple[int, int], float] = {}
 
     def start(self, fingerprint: int, instance: str) -> None:
-        """Notes that a canary of this node runs until `end`."""
+        """Records that a canary of this node runs until `end` is called."""
         self.record(fingerprint, instance, math.inf)
 
     def hold(self, fingerprint: int, instance: str, now: float) -> None:
-        """Lets no copy of an interrupted request run for a moment."""
+        """Keeps all copies of an interrupted request from running briefly."""
         self.record(fingerprint, instance, now + HOLD_SECONDS)
 
     def record(self, fingerprint: int, instance: str, until: float) -> None:
-        """Takes in a canary of this node."""
+        """Records a canary of this node."""
         self.number += 1
         place = fingerprint, self.owner
         self.known[place] = Canary(
@@ -76,7 +78,11 @@
         self.pending_sends[place] = SEND_TIMES
 
     def end(self, fingerprint: int, now: float) -> bool:
-        """Notes that a canary of this node has ended; whether there was one."""
+        """Records the end of a canary of this node.
+
+        Returns:
+            Whether one was running.
+        """
         found = self.known.get((fingerprint, self.owner))
         if found is None or found.until <= now:
             return False
@@ -85,7 +91,11 @@
         return True
 
     def merge(self, canary: Canary, now: float) -> bool:
-        """Takes in another node's canary; whether that is news."""
+        """Merges another node's canary.
+
+        Returns:
+            Whether it changed what is known here.
+        """
         if canary.owner == self.owner:
             return False
         place = canary.fingerprint, canary.owner
@@ -108,7 +118,7 @@
         return ended
 
     def expire(self, now: float) -> None:
-        """Drops what has ended long ago."""
+        """Drops canaries that ended more than `ENDED_SECONDS` ago."""
         for place, canary in list(self.known.items()):
             if now - canary.until > ENDED_SECONDS:
                 del self.known[place]
@@ -116,7 +126,7 @@
                 self.sent_at.pop(place, None)
 
     def is_running(self, fingerprint: int, now: float) -> bool:
-        """Whether a copy of a request runs as a canary, or is held."""
+        """Whether a copy of a request runs as a canary or is held."""
         for canary in self.known.values():
             if canary.fingerprint == fingerprint and canary.until > now:
                 return True
@@ -132,7 +142,7 @@
         return False
 
     def is_free(self, fingerprint: int, instance: str, now: float) -> bool:
-        """Whether a request may run as the canary of a replica."""
+        """Whether a request may run as a replica's canary."""
         if self.is_running(fingerprint, now):
             return False
         for canary in self.known.values():
@@ -140,18 +150,21 @@
                 return False
         return True
 
-    def updates(self, relayed: bool, now: float, limit: int) -> list[Canary]:
-        """What other nodes are to know; what was not sent for longest first.
+    def updates(self, forward: bool, now: float, limit: int) -> list[Canary]:
+        """Returns the canaries to send to other nodes.
 
         Args:
-            relayed: Whether other nodes' canaries are passed on too.
+            forward: Whether to include other nodes' canaries.
             now: The time.
-            limit: Canaries at most.
+            limit: Maximum number of canaries.
+
+        Returns:
+            The least recently sent ones first.
         """
         self.expire(now)
         due = []
         for place, canary in self.known.items():
-            if canary.owner != self.owner and not relayed:
+            if canary.owner != self.owner and not forward:
                 self.pending_sends.pop(place, None)
                 continue
             sent = self.sent_at.get(place, -math.inf)
