--- a/packages/gypsumfold/src/gypsumfold/decisions/contact.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/contact.py
@@ -1,28 +1,28 @@
-"""Whether a node is in touch with the store, and what a gap there means.
-
-Load pattern: a store that is away for seconds loses the entries of replicas
-that live, and has them back within two seconds of its return. A node that was
-itself cut off from a store that worked finds gaps as well; there they mean
-that replicas have left, and requests to those end with them. The node cannot
-tell the two apart by its own calls. So it believes in a missing replica only
-while nobody else was in touch, and never beyond the moment at which it must
-act on all that the store says.
+"""Tracks contact with the store and how long missing entries are kept.
+
+Load pattern: a store that fails for seconds loses the entries of running
+replicas and has them back within two seconds of its return. A node that was
+itself cut off from a working store also finds entries missing, but then the
+replicas have left, and requests to them end with them. The node can't
+distinguish the two cases by its own calls. So it keeps a missing replica only
+while no other node was in contact with the store, and never beyond the moment
+at which it must act on all that the store says.
 """
 
 import math
 
-# Seconds for which a replica is believed in whose entry is missing after the
-# store was away: living ones are back within two seconds of its return.
+# Seconds for which a replica is kept whose entry is missing after the store
+# failed: running ones are back within two seconds of its return.
 GRACE_SECONDS = 2.0
-# Seconds before the node must act at which it believes no more: requests that
-# were just sent arrive meanwhile.
+# Seconds before the node must act at which the grace ends: requests that were
+# just sent arrive meanwhile.
 MARGIN_SECONDS = 0.2
-# Seconds for which the word of another node counts that is in touch; it comes
-# once a second at the least. An entry lapses three heartbeats after the store
-# went away, when the last word of before has long been void.
+# Seconds for which another node's confirmation of contact counts; it is sent at
+# least once a second. An entry expires three heartbeats after the store fails,
+# when the last confirmation from before the failure has long expired.
 CONFIRMATION_SECONDS = 1.2
-# Seconds for which such a word is passed on by a relay, which hears others ten
-# times a second.
+# Seconds for which a relay forwards such a confirmation; it receives messages
+# from other nodes ten times a second.
 FORWARD_SECONDS = 0.5
 
 
@@ -32,13 +32,14 @@
     Attributes:
         bound: Seconds of contact after which the node must act on all that
             the store has said.
-        since: When the first call of this contact was answered; none while
-            there is no contact.
-        lost_at: When contact was lost; none while it lasts.
-        missed: When the last call was made that had no answer, or the node
-            was started: it was not in touch then.
-        vouched: When another node said last that the store is there.
-        witnessed: When one said so last that had called it itself.
+        connected_since: When the first call of this contact was answered;
+            None while there is no contact.
+        lost_at: When contact was lost; None while it lasts.
+        unanswered_at: When the last call without an answer was made, or the
+            node was started: it had no contact then.
+        confirmed_at: When another node last confirmed that the store is up.
+        directly_confirmed_at: When a node that calls the store itself last
+            did so.
 
     >>> contact = Contact(bound=3.0, now=0.0)
     >>> contact.answered(now=0.1)
@@ -58,17 +59,17 @@
         self.directly_confirmed_at = -math.inf
 
     def failed(self, asked: float, now: float) -> bool:
-        """Notes a call that failed.
+        """Records a failed call.
 
-        One that was made before this contact began, and ends only now, says
-        nothing new: taken for another loss it would start the grace again.
+        A call made before this contact began that fails only now is no new
+        loss: counted as one, it would restart the grace period.
 
         Args:
             asked: When the call was made.
             now: The time.
 
         Returns:
-            Whether contact is lost by it.
+            Whether contact is lost because of it.
         """
         self.unanswered_at = max(self.unanswered_at, asked)
         if self.connected_since is not None and asked < self.connected_since:
@@ -80,10 +81,10 @@
         return True
 
     def answered(self, now: float) -> float | None:
-        """Notes a call that was answered.
+        """Records an answered call.
 
         Returns:
-            Seconds for which contact was lost; none where it was not.
+            Seconds for which contact was lost; None if it wasn't.
         """
         if self.connected_since is not None:
             return None
@@ -95,10 +96,10 @@
         return seconds
 
     def confirm(self, direct: bool, now: float) -> None:
-        """Notes that another node says that the store was there all along.
+        """Records that another node had uninterrupted contact with the store.
 
         Args:
-            direct: Whether it knows that by its own calls.
+            direct: Whether it knows that from its own calls.
             now: The time.
         """
         self.confirmed_at = now
@@ -106,14 +107,17 @@
             self.directly_confirmed_at = now
 
     def shared_grace(self, may_forward: bool, now: float) -> float:
-        """Seconds for which a missing entry is believed, as sent to others.
+        """Returns the grace to send to other nodes.
 
-        Two nodes that vouch for each other would know nothing of the store.
-        So the word of one that calls it is passed on once.
+        Two nodes that only confirm each other would know nothing of the store.
+        So the confirmation of a node that calls it is forwarded only once.
 
         Args:
-            may_forward: Whether it is sent to those who might pass it on.
+            may_forward: Whether the receivers might forward it.
             now: The time.
+
+        Returns:
+            Seconds for which a missing entry is kept.
         """
         if (
             not may_forward
@@ -123,7 +127,7 @@
         return self.own_grace(now)
 
     def own_grace(self, now: float) -> float:
-        """Seconds for which a missing entry is believed, by own calls alone."""
+        """Returns the grace in seconds, by this node's own calls alone."""
         if self.connected_since is None:
             return GRACE_SECONDS
         until = min(
@@ -133,10 +137,10 @@
         return max(0.0, until - now)
 
     def grace(self, now: float) -> float:
-        """Seconds for which a missing entry is believed."""
+        """Returns the seconds for which a missing entry is kept."""
         if now - self.confirmed_at < CONFIRMATION_SECONDS:
             return 0.0
         if self.connected_since is None and self.lost_at is None:
-            # Nothing was known before the first contact.
+            # Nothing is known before the first contact.
             return 0.0
         return self.own_grace(now)
--- a/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/crashes.py
@@ -1,14 +1,14 @@
-"""Which requests crash the replicas that run them.
+"""Finds requests that crash the replicas that run them.
 
 Load pattern: a request that crashes each replica that runs it (a query of
-death) and comes again after each crash, at any node. Without this it ends one
-replica after the other, and each crash interrupts dozens of other requests,
-whose repeats run beside it again.
+death) and is retried after each crash, at any node. Without this it takes down
+one replica after the other, and each crash interrupts dozens of other requests,
+whose retries run beside it again.
 
 Every request that a crash interrupted is suspected of it. Three crashes put a
-request into quarantine. A suspicion is dropped once the request runs to its
-end, or once the crash is explained by a request in quarantine. Nodes exchange
-what they have seen; records merge in any order, and more than once, to the same
+request into quarantine. A suspicion is dropped once the request completes, or
+once the crash is attributed to a request in quarantine. Nodes exchange their
+suspicions; records merged in any order, and more than once, give the same
 state.
 """
 
@@ -17,26 +17,27 @@
 import math
 from typing import NamedTuple
 
-# Crashes after which a request is sent to no replica; two may well interrupt
+# Crashes after which a request is sent to no replica. Two crashes may interrupt
 # the same request by chance.
 MAX_CRASHES = 3
-# Seconds of the first quarantine; a service may run the request well after a
-# new version. One run is tried after it.
+# Length of the first quarantine. One run is tried after it, since a new version
+# of the service may handle the request.
 QUARANTINE_SECONDS = 600.0
-# Times by which each further quarantine of a request is longer, and the longest
-# in seconds.
+# Factor by which each further quarantine of a request is longer, and the
+# longest one.
 QUARANTINE_FACTOR = 4.0
 MAX_QUARANTINE_SECONDS = 86400.0
-# Crashes that are remembered, and interrupted requests of each: an attacker
-# that makes up new requests must not fill the memory.
+# Crashes that are remembered, and interrupted requests of each: an attacker who
+# sends ever new requests must not fill the memory.
 MAX_CRASH_RECORDS = 256
 MAX_REQUESTS_PER_CRASH = 128
-# How often a suspicion is sent, as datagrams may be lost.
+# How often a suspicion is sent, since datagrams may be lost.
 SEND_TIMES = 3
-# Seconds between two rounds in which what is known is sent again, at the least.
+# Minimum seconds between two rounds in which known suspicions are sent again.
 REFRESH_SECONDS = 1.0
-# Seconds after a crash for which suspicions of this crash alone are sent again:
-# a node that was cut off for longer learns those of requests that crash more.
+# Seconds after a crash for which requests suspected of this crash alone are
+# sent again. A node that was cut off for longer learns only of requests
+# suspected of more crashes.
 RECENT_SECONDS = 60.0
 
 
@@ -44,7 +45,7 @@
     """What may be done with a request.
 
     Attributes:
-        FREE: It is sent like any other.
+        FREE: The request is sent like any other.
         CANARY: It runs as the only suspect on its replica, one copy at a time.
         QUARANTINED: It is sent to no replica.
     """
@@ -55,11 +56,11 @@
 
 
 class Incarnation(NamedTuple):
-    """One lifetime of a replica.
+    """One run of a replica, from a start to its end.
 
     Attributes:
-        instance: The replica.
-        started: Unix milliseconds of its start; 0 if it does not say.
+        instance: The replica's instance.
+        started: Unix milliseconds of its start; 0 if unknown.
     """
 
     instance: str
@@ -70,10 +71,10 @@
     """A request that a crash interrupted, as nodes exchange it.
 
     Attributes:
-        replica: What crashed.
-        fingerprint: The request.
-        output: Whether its caller had got output of this run.
-        cleared: Whether it has run to its end since.
+        replica: The incarnation that crashed.
+        fingerprint: The request's fingerprint.
+        output: Whether its caller had received output of this run.
+        cleared: Whether the request has completed since.
     """
 
     replica: Incarnation
@@ -86,11 +87,11 @@
     """What is known of one crash.
 
     Attributes:
-        at: When this node learnt of it.
-        requests: The interrupted requests; whether each had given output.
-        cleared: Those that have run to their end since.
-        cause: The request that explains it; None if none is known.
-        expired: Requests no longer suspected of it, as their quarantine
+        at: When this node learned of it.
+        requests: The interrupted requests, and whether each had given output.
+        cleared: Requests that have completed since.
+        cause: The request that the crash is attributed to; None if unknown.
+        expired: Requests no longer suspected of it, because their quarantine
             is over.
     """
 
@@ -103,7 +104,7 @@
 
 
 class CrashLog:
-    """Crashes, and the requests suspected of them.
+    """Records crashes and the requests suspected of them.
 
     >>> log = CrashLog()
     >>> for replica in ("engine-1", "engine-2", "engine-3"):
@@ -128,7 +129,7 @@
     def interrupted(
         self, replica: Incarnation, fingerprint: int, output: bool, now: float
     ) -> bool:
-        """Notes that a crash interrupted a request of this node.
+        """Records that a crash interrupted a request of this node.
 
         Returns:
             Whether that puts the request into quarantine.
@@ -137,11 +138,11 @@
         return self.merge(report, True, now)
 
     def merge(self, report: Interrupted, forward: bool, now: float) -> bool:
-        """Takes in one suspicion, of this node or another one.
+        """Merges one suspicion, of this node or another one.
 
         Args:
             report: The suspicion.
-            forward: Whether it is sent to other nodes if it is new here.
+            forward: Whether to send it to other nodes if it is new here.
             now: The time.
 
         Returns:
@@ -169,7 +170,7 @@
         return self.update_quarantine(fingerprint, now)
 
     def crash_record(self, replica: Incarnation, now: float) -> Crash:
-        """Finds the record of a crash, or begins it."""
+        """Returns the record of a crash, creating it if needed."""
         found = self.crashes.get(replica)
         if found is not None:
             return found
@@ -195,7 +196,11 @@
             del self.suspected[fingerprint]
 
     def update_quarantine(self, fingerprint: int, now: float) -> bool:
-        """Puts a request into quarantine once it has crashed too much."""
+        """Quarantines a request after `MAX_CRASHES` crashes.
+
+        Returns:
+            Whether that starts a quarantine.
+        """
         if fingerprint in self.quarantined:
             self.attribute_crashes(fingerprint)
             return False
@@ -215,14 +220,21 @@
         return True
 
     def attribute_crashes(self, fingerprint: int) -> None:
-        """Lets a request in quarantine stand for all its crashes."""
+        """Attributes to a quarantined request all crashes it is suspected of.
+
+        Crashes that are already attributed stay so.
+        """
         for replica in self.suspected.get(fingerprint, ()):
             crash = self.crashes[replica]
             if crash.cause is None:
                 crash.cause = fingerprint
 
     def completed(self, fingerprint: int) -> bool:
-        """Clears a suspect that has run to its end; False if it was none."""
+        """Clears a request that has completed.
+
+        Returns:
+            Whether it was suspected.
+        """
         suspected = self.suspected.pop(fingerprint, None)
         if suspected is None:
             return False
@@ -236,7 +248,7 @@
         return True
 
     def suspicions(self, fingerprint: int) -> list[Incarnation]:
-        """The crashes of which a request is suspected."""
+        """Returns the crashes of which a request is suspected."""
         found = []
         for replica in self.suspected.get(fingerprint, ()):
             crash = self.crashes[replica]
@@ -253,8 +265,8 @@
     def count_before_output(self, fingerprint: int) -> int:
         """Counts the crashes that interrupted a request before it gave output.
 
-        Explained ones count too: two requests that crash replicas may have
-        started together.
+        Crashes attributed to another request count too: two requests that both
+        crash replicas may have started together.
         """
         count = 0
         for replica in self.suspected.get(fingerprint, ()):
@@ -265,7 +277,7 @@
         return count
 
     def decide(self, fingerprint: int, now: float) -> Decision:
-        """What may be done with a request."""
+        """Decides how a request may be sent."""
         until = self.quarantined.get(fingerprint)
         if until is not None and now < until:
             return Decision.QUARANTINED
@@ -275,25 +287,25 @@
         if not suspicions:
             return Decision.FREE
         output = self.crashes[suspicions[0]].requests[fingerprint]
-        # What crashes a replica does so soon after its start as a rule: a
-        # single crash speaks little against a request that had given output.
+        # A request that crashes replicas usually does so soon after it starts,
+        # so a single crash is weak evidence against one with output.
         if len(suspicions) == 1 and output:
             return Decision.FREE
         return Decision.CANARY
 
     def release(self, fingerprint: int) -> None:
-        """Ends a quarantine; one more crash begins the next one."""
+        """Ends a quarantine; one more crash starts the next one."""
         del self.quarantined[fingerprint]
         suspected = sorted(self.suspected.get(fingerprint, ()))
         for replica in suspected[: 1 + len(suspected) - MAX_CRASHES]:
             self.crashes[replica].expired.add(fingerprint)
 
     def updates(self, now: float, limit: int) -> list[Interrupted]:
-        """What other nodes are sent next: news first, then what is repeated.
+        """Returns the suspicions to send next: new ones, then repeated ones.
 
         Args:
             now: The time.
-            limit: Suspicions at most.
+            limit: Maximum number of suspicions.
         """
         if not self.repeats and now - self.refreshed >= REFRESH_SECONDS:
             self.refreshed = now
@@ -301,7 +313,7 @@
         updates = []
         for place, left in list(self.pending_sends.items())[:limit]:
             del self.pending_sends[place]
-            # What has been sent goes behind what has not.
+            # Suspicions already sent go behind those that aren't.
             if left > 1:
                 self.pending_sends[place] = left - 1
             updates.append(self.known(*place))
@@ -312,12 +324,15 @@
         return updates
 
     def suspicions_of(self, replica: Incarnation) -> dict[int, bool]:
-        """The requests that a crash interrupted; none if it is forgotten."""
+        """Returns the requests that a crash interrupted.
+
+        Empty if the crash is no longer recorded.
+        """
         crash = self.crashes.get(replica)
         return crash.requests if crash is not None else {}
 
     def known(self, replica: Incarnation, fingerprint: int) -> Interrupted:
-        """What is known of one request at one crash."""
+        """Returns the suspicion of one request for one crash."""
         crash = self.crashes[replica]
         return Interrupted(
             replica,
@@ -327,9 +342,10 @@
         )
 
     def refresh(self, now: float) -> None:
-        """Has all sent again that may still matter, the most suspected first.
+        """Queues the suspicions that still matter to be sent again.
 
-        A node that was cut off learns it so.
+        Requests suspected of several crashes go first. Nodes that were cut off
+        catch up this way.
         """
         single = []
         for replica, crash in self.crashes.items():
