--- a/packages/gypsumfold/src/gypsumfold/decisions/health.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/health.py
@@ -1,22 +1,23 @@
-"""Whether a replica may get work, judged by what it did for callers.
+"""Decides from the results of requests whether a replica may get work.
 
-Load pattern: a replica that fails, hangs or is gone while its entry still
-says ready. Its health check may lie either way, so only what became of
-requests counts. Without it such a replica gets its full share, and a fast
-failure even attracts work.
+Load pattern: a replica that fails, hangs or has ended while its entry still
+says ready. Its health check may be wrong either way, so only the results of
+requests count. Without this such a replica gets its full share, and one that
+fails fast even attracts work.
 """
 
 import random
 
-# Weight of one end in the share of failures; three failures in a row move it
-# from none past the limit.
+# Weight of one result in the failure rate. Three failures in a row move it from
+# 0 past the limit.
 SMOOTHING = 0.25
-# Share of failures above which a replica is paused. Some services fail one
-# request in seven in ordinary use.
+# Failure rate above which a replica is paused. Some services fail one request
+# in seven in ordinary use.
 MAX_FAILURE_RATE = 0.5
-# Failures in a row without any byte of an answer that pause it at once.
+# Failures without any byte of an answer after which a replica is paused at
+# once; a success resets the count.
 MAX_SILENT_FAILURES = 2
-# Seconds of the first pause, doubled by each further one.
+# Length of the first pause, doubled for each further one.
 FIRST_PAUSE_SECONDS = 0.7
 MAX_PAUSE_SECONDS = 5.0
 
@@ -27,7 +28,7 @@
     >>> health = Health(random.Random(1))
     >>> health.failed("engine-1", silent=True, now=0.0)
     >>> health.failed("engine-1", silent=True, now=0.1)
-    >>> health.allowed("engine-1", now=0.2)
+    >>> health.is_allowed("engine-1", now=0.2)
     False
     """
 
@@ -40,7 +41,7 @@
         self.last_success: dict[str, float] = {}
 
     def succeeded(self, replica: str, now: float) -> None:
-        """Notes an answer that its caller could use."""
+        """Records a usable answer."""
         self.last_success[replica] = now
         share = self.failure_rates.get(replica, 0.0)
         self.failure_rates[replica] = share * (1 - SMOOTHING)
@@ -49,11 +50,11 @@
         self.paused_until.pop(replica, None)
 
     def failed(self, replica: str, silent: bool, now: float) -> None:
-        """Notes a failure.
+        """Records a failure.
 
         Args:
             replica: The replica.
-            silent: Whether nothing came from it, not even a refusal.
+            silent: Whether it sent nothing, not even a refusal.
             now: The time.
         """
         share = self.failure_rates.get(replica, 0.0)
@@ -74,11 +75,11 @@
             )
 
     def is_allowed(self, replica: str, now: float) -> bool:
-        """Whether it may get work; after a pause one request tries it."""
+        """Whether a replica may get work; after a pause requests try it."""
         return now >= self.paused_until.get(replica, now)
 
     def forget(self, replica: str) -> None:
-        """Drops a replica that is gone."""
+        """Drops a replica that was removed."""
         for table in (
             self.failure_rates,
             self.silent_failures,
--- a/packages/gypsumfold/src/gypsumfold/decisions/members.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/members.py
@@ -1,11 +1,11 @@
-"""Who takes part in the site, where, and who comes first in a data centre.
-
-Load pattern: hundreds of VMs of which any may start, restart, stop or vanish
-at any moment, many of them at once. Nobody keeps a list that all agree on:
-each node keeps its own, from entries in the store and from what it hears, and
-ranks the nodes of a data centre by rendezvous hashing. Two nodes that know the
-same others rank them alike; where they do not, more nodes than needed do the
-same work for a moment, which costs work and never a promise.
+"""Lists the nodes of the site and ranks those of each data centre.
+
+Load pattern: hundreds of VMs of which any may start, restart, stop or disappear
+at any moment, many of them at once. There is no agreed list: each node keeps
+its own, from entries in the store and from messages, and ranks the nodes of a
+data centre by rendezvous hashing. Two nodes that know the same members rank
+them in the same order. If they don't, more nodes than needed do the same work
+for a moment, which costs work but breaks no guarantee.
 """
 
 import math
@@ -13,19 +13,20 @@
 
 import xxhash
 
-# Distinct values of a 64-bit hash.
+# Number of distinct values of a 64-bit hash.
 HASH_COUNT = 2.0**64
 
 
 class Member(NamedTuple):
-    """One start of a node on a VM.
+    """One incarnation of a node on a VM.
 
     Attributes:
-        name: Unique for this start; a later start of the VM sorts after it.
+        name: Unique for this incarnation; a later one of the same VM sorts
+            after it.
         node: The VM's name.
-        data_centre: Where the VM stands.
-        address: IP and port of its datagrams.
-        power: Of its processor in cores; stronger VMs rank higher.
+        data_centre: The VM's data centre.
+        address: IP and port for datagrams.
+        power: Processor power in cores; stronger VMs rank higher.
     """
 
     name: str
@@ -36,7 +37,7 @@
 
 
 class Members:
-    """The nodes that are believed to run, one start of each VM.
+    """The nodes that are assumed to run, one incarnation of each VM.
 
     >>> members = Members(own)
     >>> members.add(other, now=0.0)
@@ -53,13 +54,13 @@
         self.rankings: dict[str, list[Member]] = {}
 
     def add(self, member: Member, now: float) -> bool:
-        """Takes in what somebody says of a node.
+        """Adds a member that another node or a store entry names.
 
-        An entry stays in the store when its node dies; the next start of
+        An entry stays in the store when its node dies; the next incarnation of
         the same VM replaces it.
 
         Returns:
-            Whether that was news.
+            Whether the member was new.
         """
         if member.name == self.own.name or member.name in self.known:
             return False
@@ -71,7 +72,7 @@
         return True
 
     def observe(self, member: Member, now: float) -> None:
-        """Takes in that a node itself was heard: surely it runs."""
+        """Records a message from the node itself, which proves that it runs."""
         if member.name == self.own.name:
             return
         if self.known.get(member.name) != member:
@@ -79,7 +80,7 @@
         self.last_seen[member.name] = now
 
     def replace(self, member: Member) -> None:
-        """Puts one start of a VM in the place of another."""
+        """Replaces the known incarnation of a VM."""
         before = self.names_by_node.get(member.node)
         if before is not None:
             self.remove(before)
@@ -88,7 +89,7 @@
         self.rankings.clear()
 
     def remove(self, name: str) -> None:
-        """Drops a node that has left or is gone."""
+        """Drops a node that has left or died."""
         member = self.known.pop(name, None)
         if member is None:
             return
@@ -98,7 +99,7 @@
         self.rankings.clear()
 
     def not_seen_since(self, since: float) -> list[Member]:
-        """The nodes that were not heard after a moment."""
+        """Returns the nodes that were last seen before `since`."""
         found = []
         for name, member in self.known.items():
             if self.last_seen.get(name, -math.inf) < since:
@@ -106,7 +107,7 @@
         return found
 
     def ranked(self, data_centre: str) -> list[Member]:
-        """The nodes of a data centre, this one included, best first."""
+        """Returns the nodes of a data centre, this one included, best first."""
         found = self.rankings.get(data_centre)
         if found is None:
             found = []
@@ -118,7 +119,7 @@
         return found
 
     def data_centres(self) -> set[str]:
-        """All data centres in which a node is known."""
+        """Returns all data centres with a known node."""
         found = {self.own.data_centre}
         for member in self.known.values():
             found.add(member.data_centre)
@@ -126,11 +127,11 @@
 
 
 def score(member: Member) -> tuple[float, str]:
-    """The place of a node among those of its data centre.
+    """Returns the sort key that ranks a node within its data centre.
 
     Weighted rendezvous hashing: a VM of twice the power comes first twice as
-    often. It hashes the VM and not its start, so that a node that starts
-    again takes its old place and moves nobody else.
+    often. It hashes the VM and not the incarnation, so that a restarted node
+    gets its old rank and changes no other.
     """
     digest = xxhash.xxh3_64_intdigest(member.node.encode())
     even = (digest + 1) / (HASH_COUNT + 1)
