--- a/packages/gypsumfold/src/gypsumfold/decisions/outages.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outages.py
@@ -1,22 +1,22 @@
-"""What becomes of requests while no engine generates.
+"""Decides what happens to requests while there is no decode engine.
 
-Load pattern: the only engine that generates is lost, and another one takes
-seconds to change its role. Sent on, the prompts are read for nothing;
-refused, callers come back before the engine does and are refused again. So a
-request is held if the engine is expected back in time for it, and refused at
-once if not.
+Load pattern: the only decode engine is lost, and another one takes seconds to
+change its role. If prompts were dispatched meanwhile, their prefill would be
+wasted; if they were refused, callers would retry before the engine is back and
+be refused again. So a request is held if an engine is expected back in time for
+it, and refused at once if not.
 """
 
 from typing import NamedTuple
 
-# Seconds from the loss of an engine to the order that replaces it: noticing
-# that it is silent, and the holder of authority's next look.
+# Seconds from the loss of an engine to the order that replaces it: the time to
+# detect its silence and until the holder of authority checks next.
 DETECTION_SECONDS = 1.0
-# Seconds that the rest of a request takes once an engine is back: the prompt
-# and the first tokens, behind those that were held as well.
+# Seconds that the rest of a request takes once an engine is back: prefill and
+# the first tokens, queued behind other held requests.
 SERVICE_SECONDS = 0.5
-# Most of the time left that Retry-After may ask a caller to wait; callers
-# disregard more.
+# Largest fraction of the time left that Retry-After may ask a caller to wait;
+# callers ignore longer waits.
 RETRY_AFTER_FRACTION = 1 / 3
 
 
@@ -25,7 +25,7 @@
 
     Attributes:
         hold: Whether it waits for an engine.
-        retry_after: Seconds after which its caller may come back, if not.
+        retry_after: Seconds after which its caller may retry if it is refused.
     """
 
     hold: bool
@@ -35,11 +35,12 @@
 def decide(
     since: float, role_change: float, timeout: float, left: float, now: float
 ) -> Decision:
-    """Says whether a request waits for an engine to come back.
+    """Decides whether a request waits for a decode engine.
 
     Args:
-        since: When there was an engine last.
-        role_change: Seconds for which a change of role takes an engine away.
+        since: When there was last a decode engine.
+        role_change: Seconds for which a role change makes an engine
+            unavailable.
         timeout: Seconds for which the caller waits for a first event.
         left: Seconds until the request's deadline.
         now: The time.
--- a/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/outliers.py
@@ -1,8 +1,8 @@
-"""Which replicas are slow or failing against their peers.
+"""Detects replicas that are slow or failing compared with their peers.
 
 Load pattern: one endpoint that is slow or fails while it still reports.
-Without it that endpoint gets its full share, and every caller sent there
-waits; a fast failure even attracts work, since it empties the endpoint.
+Without this it gets its full share, and every caller sent there waits. One that
+fails fast even attracts work, since the failures empty its queue.
 """
 
 import bisect
@@ -11,45 +11,46 @@
 
 from gypsumfold.decisions import types
 
-# Times the peers' median before a replica counts as slow; batches of mixed
-# lengths differ by less than this (bench/, slow endpoint).
+# A replica whose ratio of actual to expected time exceeds the peers' median by
+# this factor is slow. Batches of mixed lengths differ by less than this
+# (bench/, slow endpoint).
 SLOW_RATIO = 2.0
-# The least share of work that a slow replica keeps, so that its recovery is
+# Smallest share of work that a slow replica keeps, so that its recovery is
 # noticed.
 MIN_WEIGHT = 0.1
-# Weight of one observation: five slow answers move it past `SLOW`.
+# Weight of one observation: five slow answers move the ratio past `SLOW_RATIO`.
 SMOOTHING = 0.25
-# Failures in a row before a replica gets probes alone; one or two happen
+# Failures in a row after which a replica gets only probes; one or two happen
 # whenever a connection is cut.
 FAILURES_BEFORE_PAUSE = 3
-# Seconds until the first probe; doubled by every failed one.
+# Seconds until the first probe, doubled by each failed one.
 FIRST_PAUSE_SECONDS = 2.0
 MAX_PAUSE_SECONDS = 30.0
-# Share of the replicas that may be paused at once: when all look bad the
-# cause lies elsewhere, and sending nothing would make an outage of it.
+# Fraction of the replicas that may be paused at once. If all look bad the cause
+# lies elsewhere, and sending nothing would turn it into an outage.
 MAX_PAUSED_FRACTION = 0.5
 
 
 class Outliers(Protocol):
-    """Judges replicas by the ends of their dispatches."""
+    """Rates replicas by the results of their dispatches."""
 
     def observe(
         self, replica: str, result: types.Result, expected: float, now: float
     ) -> None:
-        """Learns from the end of a dispatch that should take so long."""
+        """Learns from the end of a dispatch with this expected time."""
 
     def overdue(self, replica: str, ratio: float) -> None:
-        """Notes how late the work there is: age over expected time."""
+        """Records how late work on a replica is: age over expected time."""
 
     def weight(self, replica: str) -> float:
-        """Share of its usual work that it should get, above 0 up to 1."""
+        """Returns the share of its usual work to send, above 0 up to 1."""
 
     def allowed(self, replica: str, own: int, now: float) -> bool:
-        """Whether it may get work, or a probe, with so much there."""
+        """Whether it may get work, or a probe, with `own` dispatches there."""
 
 
 class PeerOutliers:
-    """Compares each replica with the median of all.
+    """Compares each replica with the median of its peers.
 
     >>> PeerOutliers(random.Random(1)).weight("engine-1")
     1.0
@@ -66,7 +67,7 @@
     def observe(
         self, replica: str, result: types.Result, expected: float, now: float
     ) -> None:
-        """Learns from the end of a dispatch that should take so long."""
+        """Learns from the end of a dispatch with this expected time."""
         self.sorted_ratios = None
         if result.finish == types.Finish.CANCELLED:
             self.cancelled(replica, result, expected)
@@ -85,10 +86,10 @@
     def cancelled(
         self, replica: str, result: types.Result, expected: float
     ) -> None:
-        """Learns from a caller who left: it would have taken longer still.
+        """Learns from a cancelled dispatch, which would have taken even longer.
 
-        At a slow replica callers leave at their deadline, so that nothing
-        ends there which could tell how slow it is.
+        At a slow replica callers leave at their deadline, so no dispatch
+        completes that could show how slow it is.
         """
         if expected <= 0:
             return
@@ -109,13 +110,13 @@
         self.paused_until[replica] = now + pause * self.rng.uniform(0.5, 1.0)
 
     def overdue(self, replica: str, ratio: float) -> None:
-        """Notes how late the work there is: age over expected time."""
+        """Records how late work on a replica is: age over expected time."""
         if self.overdue_ratios.get(replica) != ratio:
             self.overdue_ratios[replica] = ratio
             self.sorted_ratios = None
 
     def weight(self, replica: str) -> float:
-        """Share of its usual work that it should get, above 0 up to 1."""
+        """Returns the share of its usual work to send, above 0 up to 1."""
         ratio = self.ratio(replica)
         if self.sorted_ratios is None:
             self.sorted_ratios = sorted(
@@ -135,12 +136,12 @@
         return max(MIN_WEIGHT, median / ratio)
 
     def ratio(self, replica: str) -> float:
-        """The worse of what ended and of what is overdue."""
+        """Returns the worse ratio of completed and of overdue work."""
         late = self.overdue_ratios.get(replica, 0.0)
         return max(self.ratios.get(replica, 0.0), late)
 
     def allowed(self, replica: str, own: int, now: float) -> bool:
-        """Whether it may get work, or a probe, with so much there."""
+        """Whether it may get work, or a probe, with `own` dispatches there."""
         until = self.paused_until.get(replica)
         if until is None:
             return True
@@ -151,20 +152,20 @@
 
 
 class NoOutliers:
-    """The baseline: every replica is as good as the next."""
+    """The baseline: treats all replicas alike."""
 
     def observe(
         self, replica: str, result: types.Result, expected: float, now: float
     ) -> None:
-        """Learns nothing."""
+        """Ignores the result."""
 
     def overdue(self, replica: str, ratio: float) -> None:
-        """Learns nothing."""
+        """Ignores overdue work."""
 
     def weight(self, replica: str) -> float:
-        """Always its whole share."""
+        """Returns the full share."""
         return 1.0
 
     def allowed(self, replica: str, own: int, now: float) -> bool:
-        """Always."""
+        """Always allows work."""
         return True
--- a/packages/gypsumfold/src/gypsumfold/decisions/registry.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/registry.py
@@ -1,11 +1,11 @@
-"""What a keyed topic says, merged from readings and from what others tell.
-
-Load pattern: hundreds of nodes that must all know within seconds which
-replica leaves, while 2,900 replicas write once a second and each write but
-one in thousands says nothing new. A few nodes read; the others are told what
-changed. Records are ordered by their offset in the log, so that they may come
-from anybody, in any order and more than once. A digest of the whole tells two
-nodes whether they know the same.
+"""Merges the state of a keyed topic from store reads and from other nodes.
+
+Load pattern: hundreds of nodes that must all know within seconds which replica
+leaves, while 2,900 replicas write once a second and only one write in thousands
+changes anything. A few nodes read the topic and send the others what changed.
+Records are ordered by their offset in the log, so they may come from any node,
+in any order and more than once. Two nodes compare digests of the whole state to
+find out whether they know the same.
 """
 
 import collections
@@ -13,21 +13,21 @@
 
 import xxhash
 
-# Seconds for which a change is told again with each message: three or four
-# times, so that one lost datagram in forty does not matter.
+# Seconds for which each message repeats a change: three or four times, so that
+# losing one datagram in forty doesn't matter.
 REPEAT_SECONDS = 0.35
-# Removed keys that are remembered, so that an older record does not bring
-# them back; a site loses fewer replicas in a day.
+# Removed keys that are remembered, so that an older record doesn't bring them
+# back; a site loses fewer replicas in a day.
 MAX_REMOVED = 4096
 
 
 class Change(NamedTuple):
-    """A key that has another value since some offset.
+    """A new value of a key.
 
     Attributes:
         key: The key.
-        offset: Of the record in the log that says so.
-        value: The value; empty where the key is gone.
+        offset: Offset of its record in the log.
+        value: The value; empty if the key was removed.
     """
 
     key: str
@@ -36,7 +36,7 @@
 
 
 class Registry:
-    """The newest value of each key, and a digest of all.
+    """Holds the newest value of each key and a digest of all.
 
     >>> registry = Registry()
     >>> registry.put(Change("i-1", 7, b"ready"), now=0.0)
@@ -56,16 +56,16 @@
         )
 
     def is_stale(self, key: str, offset: int) -> bool:
-        """Whether a later record of the key is known already."""
+        """Whether a later record of the key is already known."""
         if key in self.values:
             return offset < self.values[key][0]
         return offset < self.removed.get(key, -1)
 
     def put(self, change: Change, now: float) -> bool:
-        """Takes a record in.
+        """Applies a record unless a later one is known.
 
         Returns:
-            Whether the key has another value than before.
+            Whether the key's value changed.
         """
         if self.is_stale(change.key, change.offset):
             return False
@@ -84,18 +84,18 @@
         return True
 
     def record_removed(self, change: Change) -> None:
-        """Remembers since when a key is gone."""
+        """Remembers the offset at which a key was removed."""
         self.removed[change.key] = change.offset
         self.removed.move_to_end(change.key)
         while len(self.removed) > MAX_REMOVED:
             self.removed.popitem(last=False)
 
     def missing(self, present: set[str], offset: int) -> list[Change]:
-        """The keys that a whole reading does not have any more.
+        """Returns removals for the keys that a complete read lacks.
 
         Args:
-            present: All keys that it has.
-            offset: The newest of its records.
+            present: All keys in the read.
+            offset: The newest offset of its records.
         """
         found = []
         for key, (known, _) in self.values.items():
@@ -104,12 +104,12 @@
         return found
 
     def changes(self, now: float) -> list[Change]:
-        """What changed lately, for those who follow."""
+        """Returns the recent changes, to be sent to other nodes."""
         while self.recent and now - self.recent[0][0] > REPEAT_SECONDS:
             self.recent.popleft()
         return [change for _, change in self.recent]
 
 
 def fingerprint(key: str, value: bytes) -> int:
-    """A hash of one key and value, for the digest of all."""
+    """Returns the hash of one key and value, a part of the digest."""
     return xxhash.xxh3_64_intdigest(key.encode() + b"\n" + value)
