--- a/packages/gypsumfold/src/gypsumfold/decisions/relays.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/relays.py
@@ -1,15 +1,16 @@
-"""Which node speaks for a data centre, and when another one takes over.
-
-Load pattern: hundreds of nodes that all want to know what the others do and
-what the store says. Told by everyone, each of 195 nodes heard each other only
-once in 1.3 s, and the store was called 1.03 times a second by each. So a node
-reports to one relay of its data centre, which gathers, reads the store and
-tells all others; a second one stands by.
-
-Nobody elects relays. Each node takes the first node of its data centre in the
-common order that answers it; where that is the node itself, it relays. Two
-relays at once cost some datagrams and calls; none at all lasts for as long as
-silence takes to be noticed.
+"""Chooses the relay of a data centre and when another node takes over.
+
+Load pattern: hundreds of nodes that all need the state of the others and of
+the store. When every node sent to every other, each of 195 nodes received from
+each other one only once in 1.3 s, and each called the store 1.03 times a
+second. So a node reports to one relay in its data centre, which collects the
+reports, reads the store and sends updates to all others; a second node stands
+by.
+
+Relays aren't elected. Each node uses the first node in the common ranking of
+its data centre that answers it; if that is the node itself, it relays. Two
+relays at once cost some datagrams and calls. A data centre is without a relay
+only until the silence of the old one is detected.
 """
 
 import math
@@ -17,38 +18,38 @@
 
 from gypsumfold.decisions import members as members_module
 
-# Seconds of silence after which the relay is taken to be gone: it sends ten
-# times a second, and a link that loses one datagram in forty loses six in a
-# row once in years.
+# Seconds of silence after which the relay counts as failed: it sends ten times
+# a second, and a link that loses one datagram in forty loses six in a row once
+# in years.
 RELAY_SILENCE_SECONDS = 0.6
-# Seconds of silence for one that stands by and sends once a second.
+# The same for a standby, which sends once a second.
 STANDBY_SILENCE_SECONDS = 2.5
 # Seconds within which a node that is asked to relay must answer: datagrams
-# take 2 to 6 ms, and a node that starts is busy for 0.4 s.
+# take 2 to 6 ms, and a starting node is busy for 0.4 s.
 ANSWER_SECONDS = 0.5
-# Seconds for which a node that does not answer is not asked again, doubled
-# with each time up to the longest.
+# Seconds for which a node that doesn't answer isn't asked again, doubled each
+# time up to the maximum.
 FIRST_PAUSE_SECONDS = 1.0
 MAX_PAUSE_SECONDS = 8.0
 # Better ranked nodes that are asked at the same time.
 MAX_ASKED = 2
-# Seconds of relaying after which a node counts as settled: starting nodes
-# take themselves for the relay until the first answer.
+# Seconds of relaying after which a node is settled: starting nodes act as relay
+# until the first answer.
 SETTLED_SECONDS = 1.0
-# Known nodes up to which each one tells all others by itself and reads the
-# store itself: with 16, each peer still hears ten times a second within 150
-# datagrams.
+# Number of known nodes up to which each node sends to all others and reads the
+# store itself: with 16, each peer still receives ten messages a second within
+# 150 datagrams.
 MAX_MESH_NODES = 16
 
 
 class Choice(NamedTuple):
-    """Whom a node reports to.
+    """The nodes that a node reports to.
 
     Attributes:
-        relay: The relay; None where it is this node.
-        standby: The one that takes over; None where that is this node or
-            nobody.
-        asked: Better ranked nodes that may be back.
+        relay: The relay; None if it is this node.
+        standby: The node that takes over; None if that is this node or there
+            is none.
+        asked: Better ranked nodes to ask, since they may be back.
     """
 
     relay: members_module.Member | None
@@ -57,7 +58,7 @@
 
 
 class Relays:
-    """Picks the relay of a node by who answers.
+    """Chooses a node's relay among the nodes that answer it.
 
     >>> relays = Relays(members)
     >>> relays.choose(now=0.0)
@@ -73,7 +74,7 @@
         self.relaying_since: float | None = None
 
     def choose(self, now: float) -> Choice:
-        """Says whom to report to now."""
+        """Chooses the nodes to report to now."""
         ranked = self.members.ranked(self.members.own.data_centre)
         self.pause_unanswered(now)
         relay = None
@@ -100,7 +101,7 @@
     def next_standby(
         self, ranked: list[members_module.Member], now: float
     ) -> members_module.Member | None:
-        """The next node in the order that is not known to be silent."""
+        """Returns the next node in the ranking that isn't paused."""
         for member in ranked:
             if member == self.members.own:
                 return None
@@ -115,7 +116,7 @@
         return now - self.relaying_since >= SETTLED_SECONDS
 
     def is_answering(self, member: members_module.Member, now: float) -> bool:
-        """Whether a node was heard lately as a relay."""
+        """Whether a node has recently answered as a relay."""
         if self.relay is not None and member.name == self.relay.name:
             limit = RELAY_SILENCE_SECONDS
         else:
@@ -123,7 +124,7 @@
         return now - self.answered_at.get(member.name, -math.inf) <= limit
 
     def is_paused(self, member: members_module.Member, now: float) -> bool:
-        """Whether a node is not to be asked yet."""
+        """Whether a node must not be asked yet."""
         until, _ = self.pauses.get(member.name, (-math.inf, 0.0))
         return now < until
 
@@ -139,23 +140,23 @@
                 self.pause(name, now)
 
     def pause(self, name: str, now: float) -> None:
-        """Asks a node no more for a while."""
+        """Stops asking a node for a while."""
         _, pause = self.pauses.get(name, (0.0, FIRST_PAUSE_SECONDS))
         self.pauses[name] = (now + pause, min(2 * pause, MAX_PAUSE_SECONDS))
         self.asked_at.pop(name, None)
         self.answered_at.pop(name, None)
 
     def record_question(self, name: str, now: float) -> None:
-        """Notes that a node was told that this one wants to be told."""
+        """Records that a node was asked to relay for this one."""
         self.asked_at.setdefault(name, now)
 
     def record_answer(self, name: str, now: float) -> None:
-        """Notes that a node relays for this one."""
+        """Records that a node relays for this one."""
         self.answered_at[name] = now
         self.pauses.pop(name, None)
 
     def forget(self, name: str) -> None:
-        """Drops a node that is gone."""
+        """Drops a node that was removed."""
         self.answered_at.pop(name, None)
         self.asked_at.pop(name, None)
         self.pauses.pop(name, None)
--- a/packages/gypsumfold/src/gypsumfold/decisions/retries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retries.py
@@ -1,8 +1,8 @@
-"""Whether and when work is tried again, or twice at once.
+"""Decides whether and when work is retried or hedged.
 
 Load pattern: an outage or a slow fleet, in which every failed attempt is
-repeated. Without a budget retries multiply the load just when the fleet can
-bear least; without jitter they arrive together.
+retried. Without a budget retries multiply the load just when the fleet can
+handle least; without jitter they arrive together.
 """
 
 import random
@@ -10,42 +10,42 @@
 
 from gypsumfold.decisions import types
 
-# Retries as a share of first attempts: in a full outage the load grows by a
-# tenth at the most (Google SRE Book, ch. 21).
+# Retries as a fraction of first attempts: in a full outage the load grows by at
+# most a tenth (Google SRE Book, ch. 21).
 RETRY_FRACTION = 0.1
-# Retries that a quiet node may make at once: an engine that fails with a
-# full batch of 32 leaves about 6 to each of six nodes.
+# Retries that an idle node may make at once: an engine that fails with a full
+# batch of 32 leaves about 6 to each of six nodes.
 MAX_BUDGET = 10.0
-# Seconds before the first retry, doubled each time: the way between data
-# centres and an engine's restart differ by far more than two tries.
+# Seconds before the first retry, doubled each time: the latency between data
+# centres and the restart of an engine differ by far more than two attempts.
 FIRST_DELAY_SECONDS = 0.05
 MAX_DELAY_SECONDS = 2.0
 # Attempts of one request, the first included.
 MAX_ATTEMPTS = 3
-# Times the expected seconds to the first token after which an urgent
-# repeatable request is sent to a second replica: about its 99th percentile.
+# Multiple of the expected time to first token after which an urgent repeatable
+# request is sent to a second replica: about its 99th percentile.
 HEDGE_RATIO = 4.0
 
 
 class Retries(Protocol):
-    """Decides on repeats inside the node."""
+    """Decides on retries inside the node."""
 
     def first(self) -> None:
-        """Notes a first attempt."""
+        """Records a first attempt."""
 
     def delay(
         self, request: types.Request, attempt: int, work: float, now: float
     ) -> float | None:
-        """Seconds until the next attempt; None where there is to be none."""
+        """Returns the seconds until the next attempt; None for no attempt."""
 
     def hedge(
         self, request: types.Request, silent: float, expected: float
     ) -> bool:
-        """Whether to send a second copy of a request that is silent."""
+        """Whether to send a second copy of a request without an answer yet."""
 
 
 class BudgetedRetries:
-    """Retries within a share of the traffic, jittered, before the deadline.
+    """Retries with jitter, within a share of the traffic and the deadline.
 
     >>> BudgetedRetries(random.Random(1)).delay(request, 1, 0.5, now=0.0)
     0.03
@@ -56,16 +56,16 @@
         self.budget = MAX_BUDGET
 
     def first(self) -> None:
-        """Notes a first attempt, which earns a share of a retry."""
+        """Records a first attempt, which earns a fraction of a retry."""
         self.budget = min(MAX_BUDGET, self.budget + RETRY_FRACTION)
 
     def delay(
         self, request: types.Request, attempt: int, work: float, now: float
     ) -> float | None:
-        """Seconds until the next attempt; None where there is to be none.
+        """Returns the seconds until the next attempt; None for no attempt.
 
         Args:
-            request: What failed.
+            request: The failed request.
             attempt: Attempts made so far.
             work: Seconds that the next one will take.
             now: The time.
@@ -84,7 +84,7 @@
     def hedge(
         self, request: types.Request, silent: float, expected: float
     ) -> bool:
-        """Only urgent repeatable work, and within the same budget."""
+        """Hedges only urgent repeatable work, within the same budget."""
         if not request.repeatable or request.urgency > 0:
             return False
         if silent < HEDGE_RATIO * expected or self.budget < 1:
@@ -94,7 +94,7 @@
 
 
 class AlwaysRetry:
-    """The baseline: again at once, up to the same number of attempts."""
+    """The baseline: retries at once, up to the same number of attempts."""
 
     def first(self) -> None:
         """Keeps no budget."""
@@ -102,11 +102,11 @@
     def delay(
         self, request: types.Request, attempt: int, work: float, now: float
     ) -> float | None:
-        """At once."""
+        """Returns 0 until all attempts are used."""
         return 0.0 if attempt < MAX_ATTEMPTS else None
 
     def hedge(
         self, request: types.Request, silent: float, expected: float
     ) -> bool:
-        """Never."""
+        """Never hedges."""
         return False
--- a/packages/gypsumfold/src/gypsumfold/decisions/roles.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/roles.py
@@ -1,12 +1,12 @@
-"""Which engine should change its role as the mix of tokens swings.
-
-Load pattern: the ratio of prompt to output tokens swings within minutes on
-a fixed fleet. With static roles the engines of one side queue while the
-others idle; following every swing takes an engine away each time, often just
-as the mix turns back. A change is made where what it gains over the expected
-stay of the mix exceeds what it costs: the seconds that the engine is away
-and drains, the same again and the work not served when the mix turns back,
-and the weight that the operators declare for each change.
+"""Plans role changes of engines as the mix of tokens shifts.
+
+Load pattern: the ratio of prompt to output tokens shifts within minutes on a
+fixed fleet. With static roles the engines of one role queue while the others
+idle; following every shift makes an engine unavailable each time, often just as
+the mix shifts back. A change is made if its gain over the expected duration of
+the mix exceeds its cost: the seconds in which the engine is unavailable and
+drains, the same again and the work not served when the mix shifts back, and the
+weight that the operators declare for each change.
 """
 
 import collections
@@ -17,19 +17,20 @@
 from gypsumfold.decisions import types
 
 # A gain must exceed the cost by this factor: demand is measured over two
-# seconds and wavers by about this much (hysteresis).
+# seconds and fluctuates by about this much.
 HYSTERESIS = 1.25
-# Share of the present demand that the fleet should be able to serve; queues
-# grow without bound on the way to 1.
+# Fraction of the current demand that the fleet should be able to serve; queues
+# grow without bound as it falls towards 1.
 MAX_SERVED_FRACTION = 1.1
-# Seconds a new mix must have lasted: twice the memory of the demand meter.
+# Seconds that a new mix must have lasted: twice the time constant of the demand
+# meter.
 SETTLE_SECONDS = 4.0
-# Halvings of the interval when the served share is worked out; 1/1000.
+# Bisection steps when computing the served fraction; accurate to about 1/1000.
 BISECTION_STEPS = 10
 
 
 class Rates(NamedTuple):
-    """Tokens a second of one engine that does only one thing.
+    """Tokens a second of one engine that does only prefill or only decode.
 
     Attributes:
         prefill: Prompt tokens a second.
@@ -45,10 +46,10 @@
 
     Attributes:
         name: The endpoint's name.
-        role: At present.
-        taken: When its last report was taken.
+        role: Its current role.
+        reported_at: When its last report was made.
         running: Sequences that would have to be drained.
-        ready: Whether it is open and no change is in progress or wished.
+        ready: Whether it is open and no change is in progress or desired.
     """
 
     name: str
@@ -59,10 +60,10 @@
 
 
 class Costs(NamedTuple):
-    """What a change of role costs.
+    """The costs of a role change.
 
     Attributes:
-        away: Seconds that an engine is away for the change itself.
+        away: Seconds for which the change itself makes an engine unavailable.
         drain: Seconds until an engine's running sequences have ended.
         weight: Seconds of one engine's work that a change must gain beyond
             that, as declared for the service.
@@ -79,7 +80,8 @@
     Attributes:
         engine: Its name.
         role: The new role.
-        gain: Seconds of one engine's work gained over the expected stay.
+        gain: Seconds of one engine's work gained while the mix is expected to
+            last.
         loss: Seconds of one engine's work lost, the weight included.
     """
 
@@ -90,22 +92,22 @@
 
 
 class Planner(Protocol):
-    """Decides on changes of roles."""
+    """Decides on role changes."""
 
     def plan(
         self, engines: list[Engine], demand: types.Demand, now: float
     ) -> Change | None:
-        """The change to make now, at most one; None for none.
+        """Returns the one change to make now, or None.
 
         Args:
             engines: All engines of the service.
-            demand: What callers ask of the whole fleet.
+            demand: The demand on the whole fleet.
             now: The time.
         """
 
 
 class GainPlanner:
-    """Weighs the gain over the expected stay against the cost.
+    """Compares a change's gain while the mix lasts with its cost.
 
     >>> planner = GainPlanner(rates, Costs(3.0, 2.0, 10.0), now=0.0)
     >>> planner.plan(engines, demand, now=60.0)
@@ -122,7 +124,7 @@
     def plan(
         self, engines: list[Engine], demand: types.Demand, now: float
     ) -> Change | None:
-        """The change to make now, at most one; None for none."""
+        """Returns the one change to make now, or None."""
         self.mix_duration.observe(demand, now)
         if not self.is_ready(engines, now):
             return None
@@ -137,7 +139,7 @@
         return best
 
     def is_ready(self, engines: list[Engine], now: float) -> bool:
-        """Whether the mix has settled and all reports are of this mix."""
+        """Whether the mix has settled and all reports are about this mix."""
         if not engines or now - self.mix_duration.started_at < SETTLE_SECONDS:
             return False
         for engine in engines:
@@ -156,7 +158,7 @@
         demand: types.Demand,
         now: float,
     ) -> Change | None:
-        """Works out gain and loss of one change."""
+        """Computes the gain and loss of one change."""
         if role == engine.role:
             return None
         old = collections.Counter(one.role for one in engines)
@@ -185,16 +187,16 @@
         without: collections.Counter,
         away: float,
     ) -> float:
-        """What the change costs once the mix is as before the last swing.
+        """Returns the cost of the change if the mix shifts back.
 
-        The fleet then serves less until the swing is noticed and the engines
+        The fleet then serves less until the shift is detected and the engines
         that changed have changed back, one after the other.
 
         Args:
             old: Engines by role now.
-            new: After the change.
-            without: While the engine is away.
-            away: Seconds until all that changed have changed back.
+            new: Engines by role after the change.
+            without: Engines by role while the engine is unavailable.
+            away: Seconds until all changed engines have changed back.
         """
         former = self.mix_duration.previous_demand
         if former is None:
@@ -207,7 +209,7 @@
     def served_fraction(
         self, counts: collections.Counter, demand: types.Demand
     ) -> float:
-        """The share of the demand that engines in these roles can serve."""
+        """Returns the fraction of the demand that these engines can serve."""
         low, high = 0.0, MAX_SERVED_FRACTION
         if self.can_serve(counts, demand, high):
             return high
@@ -222,9 +224,9 @@
     def can_serve(
         self, counts: collections.Counter, demand: types.Demand, fraction: float
     ) -> bool:
-        """Whether a share of the demand can be served.
+        """Whether a fraction of the demand can be served.
 
-        Prefill and decode engines take what they can, mixed ones the rest.
+        Prefill and decode engines take what they can, mixed engines the rest.
         """
         mixed = self.rates[types.Role.MIXED]
         prefill = self.rates[types.Role.PREFILL].prefill
@@ -239,17 +241,17 @@
 
 
 def net_gain(change: Change) -> float:
-    """What a change gains beyond its cost."""
+    """Returns a change's gain minus its loss."""
     return change.gain - change.loss
 
 
 class GreedyPlanner(GainPlanner):
-    """A baseline: makes any change that serves more right now."""
+    """A baseline: makes any change that serves more of the current demand."""
 
     def plan(
         self, engines: list[Engine], demand: types.Demand, now: float
     ) -> Change | None:
-        """The change that serves most of the present demand."""
+        """Returns the change that serves most of the current demand."""
         best = None
         for engine in engines:
             if not engine.ready:
@@ -264,10 +266,10 @@
 
 
 class StaticRoles:
-    """The plainest baseline: roles stay as they were declared."""
+    """The simplest baseline: keeps roles as declared."""
 
     def plan(
         self, engines: list[Engine], demand: types.Demand, now: float
     ) -> Change | None:
-        """No change."""
+        """Returns no change."""
         return None
