--- a/packages/gypsumfold/src/gypsumfold/decisions/load_deltas.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/load_deltas.py
@@ -1,29 +1,29 @@
-"""Sums of many nodes' work, told as what changed since the last time.
+"""Encodes load totals as changes since the last message.
 
-Load pattern: a hundred engines of which a few get or lose work in each tenth
-of a second, and hundreds of nodes that are told. Whole sums would fill two
-packets each time; what changed fills half a packet. A lost one is made good
-within a second, since all amounts are told again by turns.
+Load pattern: a hundred engines, a few of which get or lose work in each tenth
+of a second, and hundreds of nodes that receive the totals. Complete totals
+would fill two packets each time; the changes fill half a packet. A lost packet
+is recovered within a second, since all amounts are resent in rounds.
 """
 
 import xxhash
 
-# Amounts are told in thousandths.
+# Amounts are sent in thousandths.
 SCALE = 1000
-# Messages within which each amount is told again.
+# Number of messages within which each amount is resent.
 RESEND_ROUNDS = 10
-# Seconds after which an amount that was not told again no longer counts; with
-# a message each tenth of a second two of its turns were lost.
+# Seconds after which an amount that wasn't resent expires; with a message each
+# tenth of a second two of its resends were lost.
 EXPIRY_SECONDS = 2.5
 
 
 class DeltaEncoder:
-    """Says which amounts are to be told.
+    """Selects the amounts to send in each message.
 
-    >>> teller = Teller()
-    >>> teller.changed({"engine-1": 0.5})
+    >>> encoder = DeltaEncoder()
+    >>> encoder.encode({"engine-1": 0.5})
     {'engine-1': 500}
-    >>> teller.changed({})
+    >>> encoder.encode({})
     {'engine-1': 0}
     """
 
@@ -33,7 +33,7 @@
         self.round_number = 0
 
     def encode(self, amounts: dict[str, float]) -> dict[str, int]:
-        """What is new in the last two times, and a part of the rest."""
+        """Returns amounts changed in the last two calls and some others."""
         self.round_number = (self.round_number + 1) % RESEND_ROUNDS
         rounded = {}
         for key, amount in amounts.items():
@@ -55,7 +55,7 @@
         return found
 
     def is_due(self, key: str) -> bool:
-        """Whether it is an amount's turn to be told again."""
+        """Whether an amount is resent in this round."""
         return (
             xxhash.xxh3_64_intdigest(key.encode()) % RESEND_ROUNDS
             == self.round_number
@@ -63,11 +63,11 @@
 
 
 class DeltaDecoder:
-    """Keeps the amounts that one teller has told.
+    """Keeps the amounts that one encoder has sent.
 
-    >>> listener = Listener()
-    >>> listener.hear({"engine-1": 500}, now=0.0)
-    >>> listener.amounts(now=0.1)
+    >>> decoder = DeltaDecoder()
+    >>> decoder.receive({"engine-1": 500}, now=0.0)
+    >>> decoder.amounts(now=0.1)
     {'engine-1': 0.5}
     """
 
@@ -75,7 +75,7 @@
         self.received: dict[str, tuple[float, float]] = {}
 
     def receive(self, changed: dict[str, int], now: float) -> None:
-        """Takes in what a teller told."""
+        """Applies the changes of a message."""
         for key, value in changed.items():
             if value:
                 self.received[key] = (value / SCALE, now)
@@ -83,7 +83,7 @@
                 self.received.pop(key, None)
 
     def amounts(self, now: float) -> dict[str, float]:
-        """The amounts that still count."""
+        """Returns the amounts that haven't expired."""
         found = {}
         for key, (amount, told) in list(self.received.items()):
             if now - told > EXPIRY_SECONDS:
@@ -96,7 +96,7 @@
 def subtract(
     amounts: dict[str, float], own: dict[str, float]
 ) -> dict[str, float]:
-    """What is left of sums without a node's own part of them."""
+    """Subtracts a node's own amounts from totals."""
     found = {}
     for key, amount in amounts.items():
         left = amount - own.get(key, 0.0)
--- a/packages/gypsumfold/src/gypsumfold/decisions/routes.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/routes.py
@@ -1,8 +1,7 @@
-"""Which route a request takes, and to which of its services it goes.
+"""Matches requests to routes and picks one of a route's services.
 
-Load pattern: none; a request is matched in the same way however busy the
-node is. Without the longest prefix two routes of one host would answer for
-each other.
+Load pattern: none; matching doesn't depend on load. The longest prefix wins;
+otherwise two routes of one host could take each other's requests.
 """
 
 import enum
@@ -12,7 +11,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What may be repeated of a request."""
+    """How much of a request may be repeated."""
 
     IDEMPOTENT = "idempotent"
     NON_IDEMPOTENT = "non-idempotent"
@@ -20,28 +19,28 @@
 
 
 class Target(NamedTuple):
-    """A service of a route and its weight against the others."""
+    """A service of a route and its weight relative to the others."""
 
     service: str
     weight: float
 
 
 class Route(NamedTuple):
-    """What operators declare of the requests of one host and path.
+    """The operators' declaration for requests to one host and path.
 
     Attributes:
         name: Unique among the routes.
         host: The host that callers name.
-        prefix: The path's beginning, with a slash at both ends.
-        kind: What may be repeated.
+        prefix: The path prefix, with a slash at both ends.
+        kind: How much of a request may be repeated.
         limit: Seconds after which the caller has its final answer.
         objective: Seconds within which an answer is worth most.
         urgency: 0 is the most urgent.
-        attempts: Most replicas that may run one request.
-        targets: The services that it is split over.
-        resumable: Whether a stream may go on elsewhere after an event.
-        patience: Seconds without an event after which callers leave a
-            stream, also before its first; 0 where they wait for the limit.
+        attempts: Maximum number of replicas that may run one request.
+        targets: The services that the route is split over.
+        resumable: Whether another replica may resume a stream after an event.
+        abandon_timeout: Seconds without an event after which callers leave a
+            stream, also before its first event; 0 if they wait for the limit.
     """
 
     name: str
@@ -62,18 +61,18 @@
         return self.kind == Kind.IDEMPOTENT
 
     def remaining_wait(self, left: float, age: float) -> float:
-        """Seconds for which the caller still waits for a first event.
+        """Returns the seconds for which the caller waits for a first event.
 
         Args:
-            left: Seconds until its deadline.
-            age: Seconds since it asked.
+            left: Seconds until the request's deadline.
+            age: Seconds since the request arrived.
         """
         if self.abandon_timeout <= 0:
             return left
         return min(left, self.abandon_timeout - age)
 
     def pick_service(self, request_id: str) -> str:
-        """Picks a service by weight, the same one for the same request."""
+        """Picks a service by weight; the same one for the same request."""
         total = sum(target.weight for target in self.targets)
         if total <= 0:
             return self.targets[0].service
@@ -100,7 +99,7 @@
             found.sort(key=lambda route: -len(route.prefix))
 
     def match(self, host: str, path: str) -> Route | None:
-        """Finds the route of a request; None where there is none.
+        """Finds the route of a request; None if there is none.
 
         Args:
             host: As the caller named it, with or without a port.
--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -1,27 +1,26 @@
-"""Which replicas have gone silent while they owe answers.
+"""Detects replicas that send nothing while requests to them are open.
 
-Load pattern: an engine that goes dark with dozens of streams on it. Its
-entry stays for seconds, its connections are not reset, and everything sent
-there waits until its deadline. A running engine gives a sign of life several
-times a second on some stream, so that silence on all of them says more than
-any health check.
+Load pattern: an engine that stops responding with dozens of streams on it. Its
+entry stays for seconds, its connections aren't reset, and everything sent there
+waits until its deadline. A running engine sends bytes several times a second on
+some stream, so silence on all of them tells more than any health check.
 """
 
-# Seconds without a byte on any connection with a request, after which a
-# replica is asked for a sign of life. Engines send an event of each stream
-# every 40 to 120 ms; a single request that waits for room is silent longer.
+# Seconds without a byte on any connection with an open request after which a
+# replica is probed. Engines send an event of each stream every 40 to 120 ms; a
+# single request that waits for free capacity is silent longer.
 SILENCE_LIMIT_SECONDS = 0.4
-# Seconds by which a look may be late before it says more about this node,
+# Seconds since the last check after which silence says more about this node,
 # which was suspended, than about the replicas.
 LATE_CHECK_SECONDS = 0.3
 
 
 class SilenceDetector:
-    """Watches the last sign of life of each replica that owes an answer.
+    """Tracks the last byte from each replica with open requests.
 
-    >>> silence = Silence()
+    >>> silence = SilenceDetector()
     >>> silence.started("engine-1", now=0.0)
-    >>> silence.look(now=0.2), silence.look(now=0.45)
+    >>> silence.check(now=0.2), silence.check(now=0.45)
     ([], ['engine-1'])
     """
 
@@ -31,17 +30,17 @@
         self.checked_at: float | None = None
 
     def started(self, replica: str, now: float) -> None:
-        """Notes a request that is sent."""
+        """Records that a request is sent."""
         self.open_requests[replica] = self.open_requests.get(replica, 0) + 1
         self.last_byte_at.setdefault(replica, now)
 
     def received(self, replica: str, now: float) -> None:
-        """Notes bytes from a replica."""
+        """Records bytes from a replica."""
         if replica in self.last_byte_at:
             self.last_byte_at[replica] = now
 
     def ended(self, replica: str) -> None:
-        """Notes the end of a request."""
+        """Records the end of a request."""
         left = self.open_requests.get(replica, 0) - 1
         if left > 0:
             self.open_requests[replica] = left
@@ -50,14 +49,13 @@
         self.last_byte_at.pop(replica, None)
 
     def forget(self, replica: str) -> None:
-        """Drops a replica that is gone; what it owed ends without it."""
+        """Stops watching a removed replica; its open requests end later."""
         self.last_byte_at.pop(replica, None)
 
     def check(self, now: float) -> list[str]:
-        """The replicas that are silent for too long.
+        """Returns the replicas that have been silent for too long.
 
-        After a time in which this node itself stood still all count as
-        heard of.
+        If this node itself was suspended, all replicas count as just seen.
         """
         late = (
             self.checked_at is not None
--- a/packages/gypsumfold/src/gypsumfold/decisions/subsets.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/subsets.py
@@ -1,11 +1,11 @@
-"""Which replicas of a service one node polls and routes to.
+"""Chooses the replicas of a service that one node polls and routes to.
 
-Load pattern: hundreds of nodes before thousands of replicas. If every node
+Load pattern: hundreds of nodes in front of thousands of replicas. If every node
 polled every replica, polls would grow with the product of both; a random
-subset per node would leave some replicas with no node at all.
+subset per node would leave some replicas without any node.
 
-Rendezvous hashing (Thaler and Ravishankar 1998): a replica that comes or
-goes moves only the nodes that had it or now get it.
+Rendezvous hashing (Thaler and Ravishankar 1998): adding or removing a replica
+affects only the nodes that get or had it.
 """
 
 from typing import Protocol
@@ -25,7 +25,7 @@
 
 
 class Rendezvous:
-    """The highest hashes of node and replica, near ones for a half.
+    """Picks the highest hashes of node and replica, half of them nearby.
 
     >>> Rendezvous("north-apron").choose("entry-1", replicas, size=16)
     [Replica(...), ...]
@@ -37,7 +37,7 @@
     def choose(
         self, node: str, replicas: list[types.Replica], size: int
     ) -> list[types.Replica]:
-        """Half from the own data centre, the rest from anywhere."""
+        """Picks up to half from the node's data centre, the rest from all."""
         if len(replicas) <= size:
             return list(replicas)
         ranked = sorted(replicas, key=lambda one: -weight(node, one.name))
@@ -56,7 +56,7 @@
 
 
 def weight(node: str, replica: str) -> int:
-    """The hash that orders replicas for a node; the same on every node."""
+    """Returns the hash that ranks a replica for a node; alike on all nodes."""
     return xxhash.xxh3_64_intdigest(f"{node}\n{replica}".encode())
 
 
@@ -66,5 +66,5 @@
     def choose(
         self, node: str, replicas: list[types.Replica], size: int
     ) -> list[types.Replica]:
-        """All of them."""
+        """Picks all replicas."""
         return list(replicas)
