--- a/packages/gypsumfold/src/gypsumfold/gateway/counters.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/counters.py
@@ -1,10 +1,10 @@
-"""Counters and latency histograms, served as text for a scraper."""
+"""Metrics of a node, served in the Prometheus text format."""
 
 from aiohttp import web
 import prometheus_client
 
-# Upper bounds of the latency histograms in seconds: finer around the
-# objectives of urgent requests (0.1 to 0.8 s) than beyond.
+# Upper bounds of the latency buckets: finer around the objectives of urgent
+# requests (0.1 to 0.8 s) than beyond.
 LATENCY_BUCKETS_SECONDS = (
     0.02,
     0.05,
@@ -22,10 +22,10 @@
 
 
 class Counters:
-    """What a node counts.
+    """The metrics of one node.
 
     >>> counters = Counters()
-    >>> counters.ended("tug-calls", "complete", 0.3)
+    >>> counters.count_answer("tug-calls", "complete", 0.3)
     """
 
     def __init__(self):
@@ -93,7 +93,7 @@
         self.seconds.labels(route).observe(seconds)
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
-        """Serves all of them as text."""
+        """Serves all metrics as text."""
         return web.Response(
             body=prometheus_client.generate_latest(self.registry),
             content_type="text/plain",
--- a/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/fingerprints.py
@@ -1,23 +1,22 @@
-"""The identity of a request over all attempts of its caller."""
+"""Fingerprints that identify a request over all attempts of its caller."""
 
 import hashlib
 
 from gypsumfold.gateway import types
 
-# Bytes of a digest.
 DIGEST_BYTES = 8
-# Header fields beside the model's that say on whose behalf a request runs.
+# Header fields that identify on whose behalf a request runs.
 CREDENTIAL_FIELDS = frozenset((b"authorization", b"cookie"))
 
 
 def fingerprint(call: types.Call) -> int:
-    """Digests all that a replica is asked to do, and for whom.
+    """Hashes what a replica is asked to do, and on whose behalf.
 
-    Attempt ids, time limits and the node that took the request are left out:
-    a caller's next attempt has the same fingerprint.
+    Attempt ids, time limits and the receiving node are left out, so that a
+    caller's next attempt has the same fingerprint.
 
     Args:
-        call: The request, read whole.
+        call: The request.
 
     Returns:
         An unsigned integer of `SIZE` bytes.
@@ -35,12 +34,12 @@
             parts.append(value)
     parts.append(call.body or b"")
     for part in parts:
-        # The length keeps neighbouring parts from running into each other.
+        # Without the length, different splits into parts would hash alike.
         digest.update(len(part).to_bytes(8))
         digest.update(part)
     return int.from_bytes(digest.digest())
 
 
 def to_hex(value: int) -> str:
-    """Writes a fingerprint as log lines have it."""
+    """Formats a fingerprint as in log lines."""
     return f"{value:0{2 * DIGEST_BYTES}x}"
--- a/packages/gypsumfold/src/gypsumfold/gateway/line_writer.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/line_writer.py
@@ -1,17 +1,17 @@
-"""Writes log lines without ever waiting for whoever reads them."""
+"""Writes log lines without blocking on a slow reader."""
 
 import collections
 import os
 
-# Bytes of lines that wait for a slow reader; a minute of a busy node.
+# Bytes of lines kept for a slow reader: a busy node logs this in a minute.
 MAX_PENDING_BYTES = 512 * 1024
 
 
 class NonBlockingLineWriter:
-    """A stream of lines that drops new ones while too many wait.
+    """Writes lines to a descriptor; drops new ones while too many are pending.
 
     Attributes:
-        dropped: Lines dropped so far.
+        dropped: Number of lines dropped so far.
 
     >>> lines = NonBlockingLineWriter(1)
     >>> lines.write("one line")
@@ -25,7 +25,7 @@
         os.set_blocking(descriptor, False)
 
     def write(self, text: str) -> None:
-        """Writes a piece of text, or keeps it, or drops it."""
+        """Writes text, keeps what is not taken at once, or drops it."""
         data = text.encode()
         if self.pending_bytes + len(data) > MAX_PENDING_BYTES:
             self.dropped += 1
@@ -35,7 +35,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Writes as much as is taken at once."""
+        """Writes as much as the descriptor takes without blocking."""
         while self.pending:
             data = self.pending[0]
             try:
--- a/packages/gypsumfold/src/gypsumfold/gateway/replies.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/replies.py
@@ -1,4 +1,4 @@
-"""The caller's side of a request: how its answer goes out."""
+"""The interface through which the answer is sent to the caller."""
 
 from typing import Protocol
 
@@ -6,12 +6,12 @@
 
 
 class Reply(Protocol):
-    """Takes the one answer of a request."""
+    """Sends the one answer of a request."""
 
     async def send(
         self, status: int, reason: str, fields: types.Fields, body: bytes
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
 
     async def start(
         self,
@@ -23,10 +23,10 @@
         """Sends the head of an answer whose body follows."""
 
     async def write(self, data: bytes) -> None:
-        """Sends a piece of the body."""
+        """Sends a chunk of the body."""
 
     async def end(self) -> None:
         """Ends the body; the answer is complete."""
 
     def abort(self) -> None:
-        """Cuts the connection, so that the answer looks broken."""
+        """Aborts the connection; the caller sees an incomplete answer."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -1,4 +1,4 @@
-"""What the platform's adapter hands to the gateway and takes from it."""
+"""Types shared by the gateway and the platform adapter."""
 
 from collections.abc import AsyncIterator
 from typing import NamedTuple
@@ -8,26 +8,26 @@
 from gypsumfold.decisions import routes
 from gypsumfold.decisions import types
 
-# Header fields as they came: bytes, in order, repeated ones kept.
+# Raw header fields in the order received, repeated names included.
 Fields = tuple[tuple[bytes, bytes], ...]
 
 
 class Call(NamedTuple):
-    """One request of a caller, read whole.
+    """A caller's request, read completely.
 
     Attributes:
-        id: Unique for this attempt of the caller.
+        id: Attempt id, unique for each attempt of the caller.
         method: HTTP method.
-        target: Path and query, unchanged.
-        host: As the caller named it.
-        fields: Header fields to be passed on.
-        body: As it came; None where the request has no body.
-        arrival: When its head was read, on the monotonic clock.
-        deadline: Until when the caller waits, on the same clock.
-        model: The model asked for; empty for plain calls.
-        chain: The parts of the prompt.
+        target: Path and query as received.
+        host: Value of the Host header.
+        fields: Header fields to forward.
+        body: Body as received; None if the request has none.
+        arrival: Time when the head was read, on the monotonic clock.
+        deadline: Time until which the caller waits, on the same clock.
+        model: Requested model; empty for plain calls.
+        chain: Prefix chain of the prompt.
         prompt_tokens: Length of the prompt; 0 for plain calls.
-        output_tokens: Most tokens that the answer may have.
+        output_tokens: Maximum number of tokens in the answer.
     """
 
     id: str
@@ -45,19 +45,19 @@
 
 
 class Replica(NamedTuple):
-    """One registered replica of a service.
+    """A registered replica of a service.
 
     Attributes:
-        instance: Names this run of it.
-        service: What it serves.
+        instance: Instance id.
+        service: Name of the service.
         address: IP:PORT; may later belong to another service.
-        data_centre: Where it stands.
-        slots: Requests that it runs at once.
-        draining: Whether it is leaving.
-        role: What an engine does; None for plain services.
-        orders: Orders that it has accepted, as it last said.
-        born: Unix milliseconds of its start; a later one under the same
-            instance holds and knows nothing of before. 0 if it does not say.
+        data_centre: Data centre of its VM.
+        slots: Number of requests that it runs concurrently.
+        draining: Whether it is shutting down.
+        role: Role of an engine; None for plain services.
+        orders: Number of orders accepted, as last reported.
+        born: Start time in Unix milliseconds; 0 if not reported. A later
+            one for the same instance means a restart, with all state lost.
     """
 
     instance: str
@@ -72,17 +72,20 @@
 
 
 class Service(NamedTuple):
-    """What operators declare of a service.
+    """A service as declared by operators.
 
     Attributes:
-        name: Its name.
-        connections: Most connections that a replica takes from all nodes.
-        cache_tokens: Tokens that an engine's memory holds; 0 for plain
+        name: Name of the service.
+        connections: Maximum number of connections to a replica, over all
+            nodes.
+        cache_tokens: Capacity of an engine's KV cache in tokens; 0 for plain
             services.
-        token_bytes: KV cache of one token in bytes.
-        link_rate: Bytes a second between engines.
-        handle_life: Seconds for which a KV cache waits to be taken.
-        switch_time: Seconds for which a change of role takes an engine away.
+        token_bytes: Size of the KV cache of one token in bytes.
+        link_rate: Bandwidth between engines in bytes per second.
+        handle_life: Seconds for which an engine keeps a KV cache for another
+            engine to fetch.
+        switch_time: Seconds for which an engine is unavailable while it
+            changes its role.
     """
 
     name: str
@@ -95,12 +98,12 @@
 
 
 class Limits(NamedTuple):
-    """What callers may send.
+    """Limits for callers.
 
     Attributes:
-        body_bytes: Largest body.
-        header_time: Seconds until the head of a request is there.
-        idle_time: Seconds that a connection may be idle.
+        body_bytes: Maximum size of a body.
+        header_time: Seconds within which the head of a request must arrive.
+        idle_time: Seconds for which a connection may be idle.
     """
 
     body_bytes: int = 4 * 1024 * 1024
@@ -109,13 +112,13 @@
 
 
 class Configuration(NamedTuple):
-    """All that operators declare, in one version.
+    """One version of the configuration declared by operators.
 
     Attributes:
-        version: Increases with each change.
-        routes: For matching.
-        services: By name.
-        limits: What callers may send.
+        version: Version number; increases with each change.
+        routes: Table used to match requests.
+        services: Services by name.
+        limits: Limits for callers.
     """
 
     version: int
@@ -125,13 +128,14 @@
 
 
 class Handle(NamedTuple):
-    """A KV cache that an engine keeps for another one to take.
+    """A reference to a KV cache that an engine keeps for another to fetch.
 
     Attributes:
-        engine: Its instance.
-        address: IP:PORT.
-        id: Names the cache there.
-        born: The start of the engine that keeps it.
+        engine: Instance id of the engine that keeps it.
+        address: IP:PORT of that engine.
+        id: Id of the cache at that engine.
+        born: Start time of that engine in Unix milliseconds; 0 if not
+            reported.
     """
 
     engine: str
@@ -141,16 +145,17 @@
 
 
 class Instructions(NamedTuple):
-    """What a node adds to a request for a replica.
+    """What a node adds to a request when it sends it to a replica.
 
     Attributes:
-        time_left: Seconds that the replica may take.
+        time_left: Seconds until the deadline.
         urgency: 0 is the most urgent; None leaves it to the replica.
-        prefill: Whether only the prompt is to be read.
-        handle: The KV cache to take over, if any.
-        cache_peer: IP:PORT of an engine whose cached parts are copied
-            first; empty for none.
-        last_event: The event after which a stream goes on; empty for none.
+        prefill: Whether only the prompt is processed.
+        handle: KV cache to fetch, if any.
+        cache_peer: IP:PORT of an engine whose cached prefix blocks are
+            copied first; empty for none.
+        last_event: Id of the event after which the stream resumes; empty for
+            none.
     """
 
     time_left: float
@@ -162,15 +167,16 @@
 
 
 class Answer(Protocol):
-    """A replica's answer whose head has come.
+    """A replica's answer, once its head has been received.
 
     Attributes:
         status: HTTP status.
         reason: HTTP reason phrase.
-        fields: Header fields to be passed on.
-        sealed: Whether the replica vouches for it.
-        not_run: Whether the replica says that the request has not run.
-        length: Bytes of the body; None where only its end will tell.
+        fields: Header fields to forward.
+        sealed: Whether the replica's seal header is present, by which it
+            confirms a success.
+        not_run: Whether the replica reports that the request has not run.
+        length: Size of the body in bytes; None if it is not known in advance.
     """
 
     status: int
@@ -181,17 +187,17 @@
     length: int | None
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """The body as it comes; raises `AnswerBroken` if it breaks off."""
+        """Yields the body; raises `AnswerBroken` if it ends early."""
 
     async def read(self) -> bytes:
-        """The whole body; raises `AnswerBroken` if it breaks off."""
+        """Reads the entire body; raises `AnswerBroken` if it ends early."""
 
     def close(self) -> None:
-        """Ends the exchange; what has not come is given up."""
+        """Ends the exchange and discards what has not been received."""
 
 
 class State(NamedTuple):
-    """What an engine says of itself, some hundred milliseconds late."""
+    """An engine's reported state, some hundred milliseconds old."""
 
     role: types.Role | None
     busy: bool
@@ -205,10 +211,10 @@
     """An order to an engine to change its role.
 
     Attributes:
-        role: The role it is to have.
-        holder: Who orders.
-        token: The fencing token.
-        after: Orders that the engine must have accepted before.
+        role: New role.
+        holder: Node that holds the lease and sends the order.
+        token: Fencing token of the lease.
+        after: Number of orders that the engine must have accepted before.
     """
 
     role: types.Role
@@ -218,17 +224,17 @@
 
 
 class CacheList(NamedTuple):
-    """The parts of prompts that an engine keeps, and when it was started."""
+    """The prefix blocks cached by an engine, and its start time."""
 
     blocks: list[chains.Block]
     started_at: int = 0
 
 
 class Endpoints(Protocol):
-    """Calls to replicas."""
+    """Client for calls to replicas."""
 
     def is_connected(self, replica: Replica) -> bool:
-        """Whether a call would find a connection open."""
+        """Whether an idle connection to the replica is open."""
 
     async def send(
         self, replica: Replica, call: Call, instructions: Instructions
@@ -238,16 +244,16 @@
     async def prefill(
         self, replica: Replica, call: Call, instructions: Instructions
     ) -> Handle:
-        """Has a prompt read and its KV cache kept."""
+        """Runs the prefill of a prompt; the engine keeps the KV cache."""
 
     async def drop(self, replica: Replica, handle: Handle) -> None:
-        """Frees a KV cache that nobody will take."""
+        """Frees a KV cache that no engine will fetch."""
 
     async def state(self, replica: Replica) -> State:
         """Asks an engine for its state."""
 
     async def cache_list(self, replica: Replica) -> CacheList:
-        """Asks an engine which parts of prompts it keeps."""
+        """Asks an engine which prefix blocks it has cached."""
 
     async def order(self, replica: Replica, order: Order) -> bool:
-        """Gives an order; False if it holds already."""
+        """Sends an order; False if it is in force already."""
