--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -1,4 +1,4 @@
-"""Takes one request from its route to its final answer."""
+"""Serves a request from the match of its route to its final answer."""
 
 import asyncio
 import time
@@ -17,8 +17,8 @@
 from gypsumfold.gateway import replies
 from gypsumfold.gateway import types
 
-# Seconds after which a caller may come back to a node that knows no
-# configuration yet; it has one a few milliseconds after the store answers.
+# Retry-After on a node that has no configuration yet; it gets one a few
+# milliseconds after the store answers.
 NO_CONFIGURATION_RETRY_SECONDS = 0.3
 
 
@@ -26,11 +26,11 @@
     """Counts final answers."""
 
     def count_answer(self, route: str, outcome: str, seconds: float) -> None:
-        """Takes one final answer in."""
+        """Counts one final answer."""
 
 
 class Handler:
-    """Serves requests one by one, each in its own task.
+    """Serves requests, each in its own task.
 
     >>> await handler.serve(call, reply)
     """
@@ -53,9 +53,10 @@
         """Answers a request.
 
         Raises:
-            exceptions.RequestError: The node's own final answer is due.
-            exceptions.AnswerBroken: The answer has begun; the connection is
-                to be cut.
+            exceptions.RequestError: The node has to send its own final
+                answer.
+            exceptions.AnswerBroken: The answer has started; the connection
+                has to be aborted.
         """
         configuration = self.configurations.current
         if configuration is None:
@@ -120,7 +121,7 @@
         reply: replies.Reply,
         progress: progress_module.Progress,
     ) -> None:
-        """Serves until the deadline; then the final answer is due."""
+        """Serves a request; fails it once its deadline has passed."""
         declared = configuration.services.get(service)
         declared = declared or types.Service(service, 0)
         generates = declared.cache_tokens > 0
--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -1,4 +1,4 @@
-"""Has prompts read: at which engine, for how long, and what if it fails."""
+"""Runs prefills: chooses the engine, sets the timeout, handles failures."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,21 +18,22 @@
 from gypsumfold.gateway import runs as runs_module
 from gypsumfold.gateway import types
 
-# Times the expected seconds after which a prompt is read elsewhere, and the
-# least that it is given: a burst of long prompts queues for about as long.
+# A prefill is retried elsewhere once its engine has completed nothing for this
+# multiple of the expected duration, but no sooner than the minimum: a burst of
+# long prompts queues for about that long.
 PREFILL_TIMEOUT_FACTOR = 4.0
 MIN_PREFILL_TIMEOUT_SECONDS = 3.0
-# Seconds between two looks whether an engine gives no sign of life.
+# Seconds between two checks whether the engine is suspected to have failed.
 SUSPECT_CHECK_INTERVAL = 0.1
-# Seconds for freeing a KV cache; it lapses by itself after a few.
+# An engine frees an unused KV cache by itself after a few seconds.
 FREE_TIMEOUT_SECONDS = 1.0
 
 
 class Prefills:
-    """Places prompts and waits until they are read.
+    """Sends prompts to prefill engines and waits for their KV caches.
 
-    >>> choice = prompts.place(service, progress)
-    >>> handle = await prompts.read(choice, route, service, progress)
+    >>> choice = prefills.place(route, service, progress)
+    >>> handle = await prefills.prefill(choice, route, service, progress)
     """
 
     def __init__(
@@ -54,7 +55,7 @@
         service: types.Service,
         progress: progress_module.Progress,
     ) -> prefix_routing_module.Choice | None:
-        """Picks the engine that reads the prompt; None for any."""
+        """Chooses the prefill engine; None if no prefill is sent."""
         call = progress.call
         if not call.prompt_tokens:
             return None
@@ -74,7 +75,7 @@
     def cache_holders(
         self, service: types.Service
     ) -> list[prefix_routing_module.Engine]:
-        """The engines that may have parts of prompts, also leaving ones."""
+        """Engines that may have cached prefix blocks, also draining ones."""
         found = []
         for replica in self.directory.replicas.values():
             if replica.service != service.name or replica.role is None:
@@ -90,7 +91,7 @@
     def prefill_engines(
         self, service: types.Service, avoid: frozenset[str]
     ) -> list[prefix_routing_module.Engine]:
-        """The engines that read prompts."""
+        """Engines that can run the prefill."""
         found = []
         now = time.monotonic()
         for replica in self.directory.engines(service.name, True, now, avoid):
@@ -100,7 +101,7 @@
         return found
 
     def cache_peer(self, address: str) -> str:
-        """An engine's address, if it can be copied from; else nothing."""
+        """Returns the address if blocks can be copied from it, else ``""``."""
         for replica in self.directory.replicas.values():
             if replica.address != address:
                 continue
@@ -115,10 +116,10 @@
         service: types.Service,
         progress: progress_module.Progress,
     ) -> types.Handle:
-        """Has the chosen engine read the prompt.
+        """Runs the prefill on the chosen engine.
 
         Raises:
-            exceptions.EndpointNotStarted: It did not; nothing has run.
+            exceptions.EndpointNotStarted: The prefill failed; nothing has run.
             exceptions.Unavailable: It would take longer than the caller
                 waits.
         """
@@ -182,10 +183,10 @@
         instructions: types.Instructions,
         progress: progress_module.Progress,
     ) -> types.Handle:
-        """Has one engine read a prompt, and judges the engine by it.
+        """Sends a prefill to an engine and records failures of the engine.
 
         Raises:
-            exceptions.EndpointNotStarted: It did not; nothing has run.
+            exceptions.EndpointNotStarted: The prefill failed; nothing has run.
         """
         prefill = self.endpoints.prefill(replica, progress.call, instructions)
         try:
@@ -217,14 +218,15 @@
     async def wait_for_prefill(
         self, prefill: Coroutine, choice: prefix_routing_module.Choice
     ) -> types.Handle:
-        """Waits for a prompt to be read while its engine reads any.
+        """Waits for a prefill as long as its engine completes any.
 
-        A queue is no reason to read the prompt a second time elsewhere; an
-        engine that finishes none is.
+        A queue alone is no reason to repeat the prefill elsewhere; an engine
+        that completes nothing is.
 
         Raises:
-            TimeoutError: The engine has finished nothing for too long.
-            exceptions.EndpointError: It failed.
+            TimeoutError: The engine has completed nothing for the timeout, or
+                is suspected to have failed.
+            exceptions.EndpointError: The prefill failed.
         """
         timeout = max(
             MIN_PREFILL_TIMEOUT_SECONDS,
@@ -256,13 +258,15 @@
         progress: progress_module.Progress,
         take_retry: Callable[[], bool],
     ) -> None:
-        """Has a prompt read again whose engine has started again since.
+        """Drops the handle of an engine that has restarted since the prefill.
+
+        The prefill is repeated if the retry budget allows; otherwise the
+        decode engine processes the prompt itself.
 
         Args:
-            progress: Of its request.
-            take_retry: Takes a retry out of the site's budget, for the call
-                that reads the prompt again. Where none is left the engine
-                that generates reads it itself.
+            progress: Progress of the request.
+            take_retry: Takes one retry out of the site's budget, if one is
+                left.
         """
         handle = progress.handle
         if handle is None:
@@ -277,7 +281,7 @@
             progress.prefill_address = ""
 
     def release_handle(self, progress: progress_module.Progress) -> None:
-        """Frees a KV cache that nobody will take, beside the request."""
+        """Frees an unused KV cache in the background."""
         handle, progress.handle = progress.handle, None
         if handle is None:
             return
@@ -291,7 +295,7 @@
     async def free_handle(
         self, replica: types.Replica, handle: types.Handle
     ) -> None:
-        """Frees a KV cache; it lapses by itself where that fails."""
+        """Frees a KV cache; if this fails, the engine frees it by itself."""
         try:
             async with asyncio.timeout(FREE_TIMEOUT_SECONDS):
                 await self.endpoints.drop(replica, handle)
@@ -309,14 +313,14 @@
     progress: progress_module.Progress,
     behind: float,
 ) -> exceptions.Unavailable:
-    """Makes the answer to a caller that would leave before its prompt is read.
+    """Makes the refusal of a request that cannot start before its deadline.
 
-    It may come back once what waits now has been read.
+    The caller may retry once the prompts queued now have been processed.
 
     Args:
-        choice: Where it would have been read first.
-        progress: Of its request.
-        behind: Seconds of deferred prompts before it.
+        choice: The engine that would have completed the prefill first.
+        progress: Progress of the request.
+        behind: Seconds of deferred prefills queued ahead.
     """
     left = progress.time_left()
     events.log(
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -1,4 +1,4 @@
-"""What is known of one request while it is served."""
+"""The state of one request while it is served."""
 
 import time
 
@@ -10,22 +10,22 @@
 from gypsumfold.gateway import fingerprints
 from gypsumfold.gateway import types
 
-# Seconds after which a caller may come back where there is no room.
+# Retry-After if no replica has free capacity.
 RETRY_AFTER_SECONDS = 0.5
 
 
 class Progress:
-    """Counts what was tried, so that the final answer can be true.
+    """Tracks the attempts at a request, so that its final answer is correct.
 
     Attributes:
-        fingerprint: The request's identity over all attempts of its caller.
-        may_have_run: Whether a replica may have begun to work on it.
-        begun: Whether bytes of an answer went to the caller.
-        runs: Replicas that may have run it.
-        avoid: Instances that failed it.
-        read_at: Address of the engine that has read the prompt; empty
+        fingerprint: Identifies the request over all attempts of its caller.
+        may_have_run: Whether a replica may have started to run it.
+        begun: Whether any of the answer was sent to the caller.
+        runs: Number of replicas that may have run it.
+        avoid: Instances that failed to serve it.
+        read_at: Address of the engine that ran the prefill; empty
             before that.
-        handle: The prompt's KV cache that nobody has taken yet.
+        handle: KV cache of the prompt that is not fetched yet.
     """
 
     def __init__(self, call: types.Call):
@@ -49,13 +49,14 @@
         deferred_ahead: float = 0.0,
         load: float = 0.0,
     ) -> lateness.Rank:
-        """Ranks the request by when its first event is expected.
+        """Ranks the request by the expected time of its first event.
 
         Args:
             route: Its route.
-            expected: Seconds until its prompt is read.
-            deferred_ahead: Seconds of deferred prompts before it, if deferred.
-            load: Seconds for which it holds up others.
+            expected: Seconds until its prefill is expected to complete.
+            deferred_ahead: Seconds of deferred prefills queued ahead, if it is
+                deferred.
+            load: Seconds by which it delays others.
         """
         age = time.monotonic() - self.call.arrival
         waits = route.remaining_wait(self.time_left(), age)
@@ -70,19 +71,20 @@
         )
 
     def final_error(self) -> exceptions.RequestError:
-        """Makes the final answer where no replica gave one."""
+        """Makes the final answer if no replica gave one."""
         if self.may_have_run:
             return exceptions.AnswerFailed(
-                "a replica broke off", outcomes.Outcome.UNDETERMINED
+                "a replica broke off",
+                outcomes.Outcome.UNDETERMINED,
             )
         return exceptions.Unavailable(
-            "no replica has room",
+            "no replica has free capacity",
             outcomes.Outcome.NOT_RUN,
             min(RETRY_AFTER_SECONDS, max(0.0, self.time_left() / 3)),
         )
 
     def record_sent(self, replica: types.Replica, **inputs) -> None:
-        """Notes that the request goes to a replica that may run it."""
+        """Records that the request is sent to a replica that may run it."""
         self.may_have_run = True
         self.runs += 1
         events.log(
@@ -95,13 +97,13 @@
         )
 
     def record_not_run(self, replica: types.Replica) -> None:
-        """Takes back what `sent` noted: the replica ran nothing."""
+        """Reverts `record_sent`: the replica ran nothing."""
         self.runs -= 1
         self.may_have_run = self.runs > 0
         self.avoid |= {replica.instance}
 
     def record_failure(self, replica: types.Replica, reason: str) -> None:
-        """Notes a failed attempt."""
+        """Records a failed attempt."""
         self.avoid |= {replica.instance}
         events.log(
             events.ATTEMPT_FAILED,
@@ -111,9 +113,9 @@
         )
 
     def log_retry_refused(self, service: str) -> None:
-        """Notes that the request may not be sent once more."""
+        """Logs that the retry budget does not allow a retry."""
         events.log(events.REPEAT_REFUSED, request=self.call.id, service=service)
 
     def log_retry(self, reason: str) -> None:
-        """Notes that the request is sent once more."""
+        """Logs that the request is retried."""
         events.log(events.CALL_REPEATED, request=self.call.id, reason=reason)
