--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -1,8 +1,8 @@
-"""Serves generations: one engine reads the prompt, another makes the tokens.
+"""Serves generations: prefill on one engine, decode on another.
 
-The engine that makes the tokens is chosen after the prompt was read, from
-what is known then. A stream that breaks off goes on at another engine where
-its route allows that, after the last event that the caller has whole.
+The decode engine is chosen once the prefill is complete, from the state known
+then. If a stream is interrupted and its route is resumable, it resumes on
+another engine after the last event that the caller received completely.
 """
 
 import asyncio
@@ -25,20 +25,20 @@
 from gypsumfold.gateway import streams
 from gypsumfold.gateway import types
 
-# Attempts at reading a prompt or making tokens, refused ones included.
+# Attempts at prefill or decode, refused ones included.
 MAX_ATTEMPTS = 4
-# Failures after which a KV cache still waits to be taken: the engine that was
-# to take it never saw the request, or is not the one meant.
+# Failures after which a KV cache can still be fetched: the request did not
+# reach the decode engine, or reached one other than the engine addressed.
 HANDLE_KEEPING_ERRORS = (
     exceptions.EndpointUnreachable,
     exceptions.EndpointMistaken,
 )
-# Seconds between two looks for an engine that generates.
+# Seconds between two checks for a decode engine.
 POLL_INTERVAL = 0.03
 
 
 class EngineListener:
-    """Notes each sign of life of one engine, and that a run gives output."""
+    """Records that an engine sends data, and that a run gives output."""
 
     def __init__(
         self,
@@ -51,18 +51,18 @@
         self.run = run
 
     def bytes_received(self) -> None:
-        """Bytes came."""
+        """Records that the engine is alive."""
         self.directory.record_activity(
             self.run.replica.instance, time.monotonic()
         )
 
     def output_forwarded(self) -> None:
-        """An event went to the caller."""
+        """Records that output was sent to the caller."""
         self.quarantine.record_output(self.run)
 
 
 class Generations:
-    """Places prompts and streams, and passes the events on.
+    """Runs prefill and decode, and forwards the events to the caller.
 
     >>> await generations.serve(route, service, reply, progress)
     """
@@ -94,9 +94,9 @@
         """Answers a request for a generation.
 
         Raises:
-            exceptions.RequestError: It ends without an engine's answer, and
-                nothing has gone to the caller.
-            exceptions.AnswerBroken: The answer has begun and cannot be
+            exceptions.RequestError: No engine answered, and nothing was sent
+                to the caller.
+            exceptions.AnswerBroken: The answer has started and cannot be
                 completed.
         """
         stream = streams.Stream(reply, route.resumable)
@@ -112,7 +112,7 @@
         stream: streams.Stream,
         progress: progress_module.Progress,
     ) -> None:
-        """Tries until an engine has answered or nothing is left to try.
+        """Makes attempts until an engine has answered or no more are allowed.
 
         Raises:
             exceptions.RequestError: As `serve`.
@@ -137,7 +137,7 @@
                 if not may_repeat or progress.runs >= route.attempts:
                     break
         if progress.answer_started:
-            raise exceptions.AnswerBroken("no engine could go on")
+            raise exceptions.AnswerBroken("no engine could resume the answer")
         raise progress.final_error()
 
     async def attempt(
@@ -147,11 +147,11 @@
         stream: streams.Stream,
         progress: progress_module.Progress,
     ) -> None:
-        """Reads the prompt, then makes the tokens.
+        """Runs the prefill if it is still needed, then the decode.
 
         Raises:
             exceptions.EndpointNotStarted: Nothing has run in this attempt.
-            exceptions.AnswerBroken: An engine may have begun.
+            exceptions.AnswerBroken: An engine may have started to run it.
         """
         await self.wait_for_decode_engine(route, service, progress)
         self.prefills.discard_lost_handle(
@@ -175,11 +175,11 @@
             ),
         )
         if decoder is None:
-            raise exceptions.EndpointNotStarted("no engine generates")
+            raise exceptions.EndpointNotStarted("no decode engine is available")
         await self.run(decoder, route, service, stream, progress)
 
     def take_retry(self, service: types.Service) -> bool:
-        """Takes one repeat out of the site's budget, if one is left."""
+        """Takes one retry out of the site's budget, if one is left."""
         return self.budget.allow(service.name, time.monotonic())
 
     async def wait_for_decode_engine(
@@ -188,10 +188,11 @@
         service: types.Service,
         progress: progress_module.Progress,
     ) -> None:
-        """Waits until an engine generates, if it is expected in time.
+        """Waits until there is a decode engine, if one is expected in time.
 
         Raises:
-            exceptions.Unavailable: It is not.
+            exceptions.Unavailable: None is, and nothing has run.
+            exceptions.AnswerBroken: None is, and an engine may have run it.
         """
         held = False
         while True:
@@ -211,9 +212,11 @@
             )
             if not verdict.hold:
                 if progress.may_have_run:
-                    raise exceptions.AnswerBroken("no engine generates")
+                    raise exceptions.AnswerBroken(
+                        "no decode engine is available"
+                    )
                 raise exceptions.Unavailable(
-                    "no engine generates",
+                    "no decode engine is available",
                     outcomes.Outcome.NOT_RUN,
                     verdict.retry_after,
                 )
@@ -233,13 +236,13 @@
         handle: types.Handle | None,
         progress: progress_module.Progress,
     ) -> types.Replica | None:
-        """Picks the engine that makes the tokens."""
+        """Chooses the decode engine."""
         now = time.monotonic()
         near = ""
         if handle is not None and handle.engine in self.directory.replicas:
             near = self.directory.replicas[handle.engine].data_centre
         found = self.directory.engines(service.name, False, now, progress.avoid)
-        # One broken stream does not make the only engine useless.
+        # A failed stream does not exclude the only engine.
         found = found or self.directory.engines(service.name, False, now)
         return self.directory.least_loaded(
             found, near, self.endpoints.is_connected
@@ -253,22 +256,22 @@
         stream: streams.Stream,
         progress: progress_module.Progress,
     ) -> None:
-        """Has one engine make the tokens and passes them on.
+        """Runs the decode on one engine and forwards its answer.
 
-        A prompt's KV cache stays for the next attempt where this one surely
-        did not take it.
+        The handle of the KV cache is kept for the next attempt if this one
+        certainly did not fetch it.
 
         Raises:
             exceptions.EndpointNotStarted: It ran nothing.
-            exceptions.AnswerBroken: It broke off.
+            exceptions.AnswerBroken: Its answer ended early.
         """
         handle = progress.handle
         instructions = types.Instructions(
             progress.time_left(),
             urgency=progress.rank(route, 0.0).urgency,
             handle=handle,
-            # Once read, a prompt is copied and not read a second time: a
-            # repeat is one call and not two.
+            # After a prefill the cached blocks are copied from its engine
+            # instead of a second prefill: a retry is one call, not two.
             cache_peer=""
             if handle
             else self.prefills.cache_peer(progress.prefill_address),
@@ -314,7 +317,7 @@
     def record_failure(
         self, replica: types.Replica, error: exceptions.EndpointNotStarted
     ) -> None:
-        """Judges an engine that did not take a request."""
+        """Records that an engine refused or failed to take a request."""
         now = time.monotonic()
         if isinstance(error, exceptions.EndpointRefused):
             self.directory.request_refused(replica.instance, error, now)
@@ -328,11 +331,11 @@
         stream: streams.Stream,
         progress: progress_module.Progress,
     ) -> None:
-        """One exchange with an engine that generates.
+        """Sends the request to a decode engine and forwards its answer.
 
         Raises:
             exceptions.EndpointNotStarted: It ran nothing.
-            exceptions.AnswerBroken: It broke off.
+            exceptions.AnswerBroken: Its answer ended early.
         """
         answer = await self.endpoints.send(
             run.replica, progress.call, instructions
@@ -352,6 +355,6 @@
 def stream_share(
     replica: types.Replica, service: types.Service, call: types.Call
 ) -> float:
-    """The share of an engine that a stream takes."""
+    """The share of an engine's capacity that a stream takes."""
     tokens = call.prompt_tokens + call.output_tokens
     return role_split.stream_share(tokens, service.cache_tokens, replica.slots)
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -1,9 +1,9 @@
-"""Requests in progress at replicas, and those that a crash interrupted.
+"""Runs of requests on replicas, and which of them a crash interrupted.
 
-An answer that breaks off says little of its replica: a connection may be
-reset on the way, and a replica may fail single requests. It crashed if
-nothing listens at its address any more, another process does, or its entry
-goes.
+An answer that ends early does not prove a crash: the network may reset a
+connection, and a replica may fail single requests. A replica has crashed if
+nothing listens at its address any more, another process does, or its entry is
+removed.
 """
 
 from collections.abc import Callable
@@ -14,21 +14,21 @@
 from gypsumfold.gateway import fingerprints
 from gypsumfold.gateway import types
 
-# Seconds after which an interrupted run whose replica's fate is not known is
-# forgotten: longer than the entry of a crashed replica stays.
+# An interrupted run is dropped after this time if it is still not known whether
+# its replica crashed: longer than the entry of a crashed replica is kept.
 UNDECIDED_TIMEOUT_SECONDS = 8.0
 
 
 class Run:
-    """One request at one replica.
+    """One request on one replica.
 
     Attributes:
-        fingerprint: The request's identity.
-        replica: Where it runs.
-        reading: Whether just its prompt is read there.
-        output: Whether output of it went to the caller.
+        fingerprint: Fingerprint of the request.
+        replica: Replica that runs it.
+        reading: Whether only its prefill runs there.
+        output: Whether output of this run was sent to the caller.
         canary: Whether it runs as the only suspect on its replica.
-        broken_at: When its answer broke off; None before that.
+        broken_at: When its answer was interrupted; None before that.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
 
 
 class Crash:
-    """A replica that ended, with this node's runs that it interrupted."""
+    """A crashed replica, with the runs of this node that it interrupted."""
 
     def __init__(self, replica: types.Replica, runs: list[Run]):
         self.replica = replica
@@ -51,15 +51,16 @@
 
 
 class InterruptedRuns:
-    """Decides which interrupted runs a crash of their replica interrupted.
+    """Interrupted runs, until it is known whether their replica crashed.
 
     Attributes:
         listeners: Called with each crash.
-        survived: Called with the interrupted runs of a replica that lives.
+        survived: Called with the interrupted runs of a replica that
+            did not crash.
 
-    >>> runs = Runs(directory)
+    >>> runs = InterruptedRuns(directory)
     >>> run = Run(fingerprint, replica, is_prefill=False)
-    >>> runs.interrupted(run)
+    >>> runs.add(run)
     """
 
     def __init__(self, directory: directory_module.Directory):
@@ -72,9 +73,10 @@
         directory.alive_listeners.append(self.record_alive)
 
     def add(self, run: Run) -> bool:
-        """Takes in a run whose answer broke off.
+        """Adds a run whose answer was interrupted.
 
-        A replica that leaves ends its connections by plan.
+        A draining replica closes its connections as planned, so its runs are
+        not added.
 
         Returns:
             Whether a crash may have interrupted it.
@@ -88,10 +90,10 @@
         return True
 
     def is_undecided(self, fingerprint: int, max_age: float) -> bool:
-        """Whether it is open if a crash has just interrupted a request.
+        """Whether a crash may have interrupted a request that is not decided.
 
         Args:
-            fingerprint: The request.
+            fingerprint: Fingerprint of the request.
             max_age: Seconds after an interruption for which this counts.
         """
         start = time.monotonic() - max_age
@@ -105,7 +107,7 @@
         return False
 
     def expire(self, instance: str) -> None:
-        """Forgets the runs of a replica that were interrupted long ago."""
+        """Drops the runs of a replica that were interrupted too long ago."""
         start = time.monotonic() - UNDECIDED_TIMEOUT_SECONDS
         kept = []
         for run in self.undecided[instance]:
@@ -116,7 +118,7 @@
             del self.undecided[instance]
 
     def record_alive(self, instance: str) -> None:
-        """Notes that a replica answers: its connections were reset."""
+        """Records that a replica answers: only its connections were reset."""
         runs = self.undecided.pop(instance, None)
         if runs is None:
             return
@@ -124,7 +126,7 @@
             listener(runs)
 
     def record_crash(self, replica: types.Replica) -> None:
-        """Notes that a replica has ended."""
+        """Records that a replica has crashed or was removed."""
         instance = replica.instance
         if instance not in self.undecided:
             return
--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -1,4 +1,4 @@
-"""Passes a replica's stream on to the caller, across replicas if need be."""
+"""Forwards a stream to the caller, from several replicas if it is resumed."""
 
 from typing import Protocol
 
@@ -8,33 +8,33 @@
 from gypsumfold.gateway import replies
 from gypsumfold.gateway import types
 
-# What ends an event, by the event-stream format.
+# Terminators of an event in the event-stream format.
 EVENT_TERMINATORS = (b"\n\n", b"\r\n\r\n")
-# Bytes of one event that are kept while its end has not come.
+# Maximum size of an incomplete event.
 MAX_EVENT_BYTES = 1024 * 1024
 
 
 class Listener(Protocol):
-    """Takes note of what comes from a replica."""
+    """Is notified of data that a replica sends."""
 
     def bytes_received(self) -> None:
-        """Bytes came."""
+        """Bytes were received from the replica."""
 
     def output_forwarded(self) -> None:
-        """Output of the run went to the caller."""
+        """Output of the run was sent to the caller."""
 
 
 class Stream:
-    """One answer to the caller, made of one or more replicas' streams.
+    """One answer to the caller, made of the streams of one or more replicas.
 
-    Where the stream may go on elsewhere only whole events are passed on,
-    since a replica may stop in the middle of one.
+    For a resumable stream only complete events are forwarded, since a replica
+    may stop in the middle of one.
 
     Attributes:
-        last_event: The id of the last event that the caller has whole.
+        last_event: Id of the last event forwarded completely.
 
     >>> stream = Stream(reply, resumable=True)
-    >>> await stream.pass_on(answer, progress)
+    >>> await stream.forward(answer, progress, listener)
     """
 
     def __init__(self, reply: replies.Reply, resumable: bool):
@@ -49,15 +49,15 @@
         progress: progress_module.Progress,
         listener: Listener,
     ) -> None:
-        """Passes one replica's answer on to its end.
+        """Forwards one replica's answer to its end.
 
         Args:
             answer: The answer.
-            progress: Of the request.
-            listener: Is told of each piece.
+            progress: Progress of the request.
+            listener: Notified of each chunk.
 
         Raises:
-            exceptions.AnswerBroken: It broke off or is no proper answer.
+            exceptions.AnswerBroken: It ended early or is not valid.
         """
         if answer.status >= 300:
             await self.forward_failure(answer, progress)
@@ -78,12 +78,12 @@
     async def forward_failure(
         self, answer: types.Answer, progress: progress_module.Progress
     ) -> None:
-        """Passes a replica's failure on, unless an answer has begun."""
+        """Forwards a replica's error answer, unless an answer has started."""
         body = await answer.read()
         plain_calls.check_answer(answer)
         if progress.answer_started:
             raise exceptions.AnswerBroken(
-                f"the engine that was to go on answered {answer.status}"
+                f"the engine to resume the stream answered {answer.status}"
             )
         await self.reply.send(answer.status, answer.reason, answer.fields, body)
 
@@ -103,10 +103,10 @@
         answer: types.Answer,
         progress: progress_module.Progress,
     ) -> bool:
-        """Passes bytes on; whole events only where that matters.
+        """Forwards bytes; only complete events if the stream is resumable.
 
         Returns:
-            Whether there was anything to pass on.
+            Whether anything was forwarded.
         """
         if self.resumable:
             data = self.take_complete_events(data)
@@ -118,10 +118,10 @@
         return True
 
     def take_complete_events(self, data: bytes) -> bytes:
-        """Returns the events that are whole by now and keeps the rest.
+        """Adds bytes and returns the complete events; the rest stays pending.
 
         Raises:
-            exceptions.AnswerBroken: An event has no end.
+            exceptions.AnswerBroken: An incomplete event is too large.
         """
         self.pending += data
         end = 0
@@ -130,7 +130,7 @@
             if found >= 0:
                 end = max(end, found + len(mark))
         if len(self.pending) - end > MAX_EVENT_BYTES:
-            raise exceptions.AnswerBroken("an event without an end")
+            raise exceptions.AnswerBroken("an incomplete event is too large")
         whole = self.pending[:end]
         self.pending = self.pending[end:]
         for line in whole.splitlines():
