--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -1,7 +1,8 @@
-"""What this node knows of replicas: registered, leaving, busy, not answering.
+"""The replicas that this node knows, and whether each may get work.
 
-Registrations are beliefs: an entry may lapse while its replica lives, and a
-replica may be dead for seconds before its entry goes.
+A registration in the store isn't proof of life: an entry may lapse while its
+replica lives, and a replica may be dead for seconds before its entry expires.
+So the directory also tracks failures, silence and role changes.
 """
 
 import asyncio
@@ -19,31 +20,45 @@
 from gypsumfold.decisions import types as decision_types
 from gypsumfold.gateway import types
 
-# Seconds that an engine which refused a request as not run gets no other: it
-# is full or changes its role.
+# Seconds without new requests for an engine that refused one as not run: it is
+# full or changing its role.
 REFUSAL_PAUSE_SECONDS = 0.25
-# Seconds for which a replica that says it is another one, or has another role,
-# gets no other request: its entry is corrected after 1 to 3 s.
+# Seconds without new requests for a replica that reports another instance or
+# role than its entry, which is corrected after 1 to 3 s.
 MISTAKEN_PAUSE_SECONDS = 2.0
-# Seconds between two questions to a silent replica for a sign of life, at
-# first and at most: 73 nodes that ask 18 lost engines ten times a second make
-# 13,000 calls a second.
+# Seconds between two probes of a silent replica, at first and at most. Without
+# the backoff 73 nodes that probe 18 lost engines ten times a second make 13,000
+# calls a second.
 FIRST_PROBE_INTERVAL_SECONDS = 0.1
 MAX_PROBE_INTERVAL_SECONDS = 1.0
-# Share of an engine by which one elsewhere has to be emptier.
+# Fraction of an engine by which one in another data centre must be less loaded
+# to be chosen.
 OTHER_DATA_CENTRE_PENALTY = 0.1
-# The same for one to which no connection is open: hundreds of nodes that each
-# use every engine open 0.55 connections for each request, and an engine takes
-# so many from all of them.
+# The same for an engine without an open connection. Hundreds of nodes that each
+# use every engine open 0.55 connections for each request, and each engine gets
+# them from all nodes.
 UNCONNECTED_PENALTY = 0.1
-# Seconds after this node learnt that an engine leaves for which it is still
-# used where no other generates: it serves on for two seconds, and a change
-# of role takes three.
+# Seconds for which a draining decode engine is still used if there is no other:
+# it goes on serving for two seconds, and a role change takes three.
 DRAINING_USE_SECONDS = 0.9
 
 
 class Directory:
-    """The replicas that are known, and the work this node has at each.
+    """Known replicas, their state and this node's open requests at each.
+
+    Attributes:
+        replicas: Registered replicas by instance, including draining ones.
+        paused_until: Until when a replica gets work only if no other can.
+        lapses_at: When a replica whose entry is missing is dropped.
+        changing_until: Until when an engine changes its role and gets no work.
+        draining_since: When this node learnt that a replica is draining.
+        suspects: Replicas that did not answer a probe; they get no work.
+        probe_requests: Replicas to probe at the next check.
+        probe_requested: Set when there are any.
+        next_probes: When a suspect is probed next, and the interval after it.
+        confirmed_roles: Roles known before the entries show them, and until
+            when each is valid.
+        decode_available_at: When a service last had a decode engine.
 
     >>> directory = Directory(random.Random(1))
     >>> directory.put(replica)
@@ -74,7 +89,7 @@
         self.incarnations = incarnations_module.Incarnations()
 
     def put(self, replica: types.Replica) -> None:
-        """Takes a registration in; a late one of an earlier start is none."""
+        """Adds or updates a replica; ignores entries of an earlier start."""
         if not self.incarnations.observe(replica.instance, replica.started_at):
             return
         old = self.replicas.get(replica.instance)
@@ -104,10 +119,10 @@
         )
 
     def receive_state(self, instance: str, state: types.State) -> bool:
-        """Takes in when a replica says that it has started.
+        """Detects a restart from the start time that a replica reports.
 
         Returns:
-            Whether what it says beside is of its newest start.
+            Whether the report is from the replica's newest incarnation.
         """
         if not self.incarnations.observe(instance, state.started_at):
             return False
@@ -123,7 +138,7 @@
         return True
 
     def replica_restarted(self, replica: types.Replica, born: int) -> None:
-        """Forgets all that was believed of a replica's earlier start."""
+        """Drops the state kept for a replica's previous incarnation."""
         events.log(
             events.REPLICA_RESTARTED,
             instance=replica.instance,
@@ -136,7 +151,13 @@
         self.forget(replica)
 
     def drop(self, instance: str, grace: float, now: float) -> None:
-        """Drops a replica whose entry went, at once or after a grace."""
+        """Drops a replica whose entry is missing.
+
+        Args:
+            instance: The replica.
+            grace: Seconds until then; 0 to drop it at once.
+            now: The time.
+        """
         if instance not in self.replicas:
             return
         replica = self.replicas[instance]
@@ -159,7 +180,7 @@
         self.forget(replica)
 
     def forget(self, replica: types.Replica) -> None:
-        """Drops a replica and all that is believed of it."""
+        """Drops a replica and all state kept for it."""
         instance = replica.instance
         del self.replicas[instance]
         self.lapses_at.pop(instance, None)
@@ -177,15 +198,15 @@
             listener(replica)
 
     def expire(self, now: float) -> None:
-        """Drops the entries whose grace is over."""
+        """Drops the replicas whose grace period is over."""
         for instance, until in list(self.lapses_at.items()):
             if now >= until:
                 self.drop(instance, 0.0, now)
 
     def known(self, service: str) -> list[types.Replica]:
-        """All replicas of a service that are not leaving."""
+        """Returns the replicas of a service that are not draining."""
         if self.lapses_at:
-            # At once and not at the next look, which is up to a second later.
+            # Housekeeping would do this up to a second later.
             self.expire(time.monotonic())
         found = []
         for replica in self.replicas.values():
@@ -194,7 +215,7 @@
         return found
 
     def responsive(self, service: str) -> list[types.Replica]:
-        """The replicas of a service that are not leaving and not silent."""
+        """Returns the replicas of a service neither draining nor suspect."""
         found = []
         for replica in self.known(service):
             if replica.instance not in self.suspects:
@@ -207,10 +228,10 @@
         now: float,
         avoid: frozenset[str] = frozenset(),
     ) -> list[types.Replica]:
-        """The replicas of a plain service that may get work now.
+        """Returns the replicas of a plain service that may get work now.
 
-        Those that refused, failed or fell silent a moment ago are left out
-        while there are others.
+        Those that refused, failed or fell silent recently are returned only
+        if there is no other.
 
         Args:
             service: The service.
@@ -229,14 +250,14 @@
         return healthy or unhealthy
 
     def is_usable(self, instance: str) -> bool:
-        """Whether a replica is known, stays, and is not silent."""
+        """Whether a replica is known, and neither draining nor suspect."""
         replica = self.replicas.get(instance)
         if replica is None or replica.draining:
             return False
         return instance not in self.suspects
 
     def is_healthy(self, instance: str, now: float) -> bool:
-        """Whether nothing speaks against sending work to a replica."""
+        """Whether a replica is not suspect, paused or failing."""
         if instance in self.suspects:
             return False
         if self.paused_until.get(instance, -math.inf) > now:
@@ -250,10 +271,10 @@
         now: float,
         avoid: frozenset[str] = frozenset(),
     ) -> list[types.Replica]:
-        """The engines that read prompts, or those that generate.
+        """Returns the prefill or the decode engines that may get work now.
 
-        Silent ones and those that change their role are left out, also
-        where there is no other.
+        Suspects and engines that change their role are left out even if there
+        is no other.
 
         Args:
             service: The service.
@@ -282,13 +303,13 @@
         return found
 
     def is_prefill(self, replica: types.Replica, now: float) -> bool:
-        """Whether an engine reads prompts for others."""
+        """Whether an engine is a prefill engine."""
         return self.role(replica, now) == decision_types.Role.PREFILL
 
     def recently_draining(
         self, service: str, now: float
     ) -> list[types.Replica]:
-        """Engines that generate and began to leave only a moment ago."""
+        """Returns the decode engines that began to drain a moment ago."""
         found = []
         for instance, since in self.draining_since.items():
             replica = self.replicas[instance]
@@ -301,11 +322,11 @@
         return found
 
     def close_until(self, instance: str, until: float) -> None:
-        """Sends an engine nothing more while it changes its role."""
+        """Sends an engine no work until a time, as it changes its role."""
         self.changing_until[instance] = until
 
     def record_activity(self, instance: str, now: float) -> None:
-        """Notes a sign of life."""
+        """Records a sign of life; the replica is no longer suspect."""
         self.silence.received(instance, now)
         if instance in self.suspects:
             self.suspects.discard(instance)
@@ -313,7 +334,7 @@
             events.log(events.REPLICA_HEARD, instance=instance)
 
     def suspect(self, instance: str, now: float) -> None:
-        """Sends nothing more to a replica that gives no sign of life."""
+        """Marks a replica as silent; it gets no work until it answers."""
         if instance in self.suspects or instance not in self.replicas:
             return
         self.suspects.add(instance)
@@ -327,7 +348,7 @@
         )
 
     def process_ended(self, instance: str) -> None:
-        """Notes that a replica's process has ended."""
+        """Notifies the listeners that a replica's process has ended."""
         replica = self.replicas.get(instance)
         if replica is None:
             return
@@ -335,23 +356,22 @@
             listener(replica)
 
     def replica_answered(self, instance: str) -> None:
-        """Notes that a replica has answered a new call."""
+        """Notifies the listeners that a replica has answered a new call."""
         for listener in self.alive_listeners:
             listener(instance)
 
     def request_failed(
         self, instance: str, error: Exception | None, now: float
     ) -> None:
-        """Judges a replica by one failure.
+        """Records a failed request.
 
-        Where a connection ended or none could be opened, the replica is
-        asked for a sign of life: the entry of one that crashed stays for
-        up to four seconds (3.8 s seen), in which every request for it would
-        be lost.
+        If the connection ended or could not be opened, the replica is probed:
+        the entry of a crashed one stays for up to four seconds (3.8 s
+        observed), in which every request sent there would be lost.
 
         Args:
             instance: The replica.
-            error: What went wrong; None where it answered with a failure.
+            error: What went wrong; None if it answered with a failure.
             now: The time.
         """
         refused = isinstance(error, exceptions.EndpointRefused)
@@ -365,7 +385,7 @@
             self.request_probe(instance)
 
     def request_probe(self, instance: str) -> None:
-        """Has a replica asked for a sign of life at the next look."""
+        """Has a replica probed at the next liveness check."""
         if instance in self.replicas:
             self.probe_requests.add(instance)
             self.probe_requested.set()
@@ -373,7 +393,7 @@
     def request_refused(
         self, instance: str, error: exceptions.EndpointRefused, now: float
     ) -> None:
-        """Sends a replica that refused a request nothing more for a while."""
+        """Pauses a replica that refused a request."""
         mistaken = isinstance(error, exceptions.EndpointMistaken)
         self.pause(
             instance,
@@ -382,9 +402,9 @@
         )
 
     def due_probes(self, now: float) -> set[str]:
-        """The replicas that are to give a sign of life.
+        """Returns the replicas to probe now.
 
-        Those that gave none are asked less and less often.
+        Suspects are probed less and less often.
         """
         asked = (
             self.probe_requests.union(self.silence.check(now)) - self.suspects
@@ -404,7 +424,7 @@
     def confirm_role(
         self, instance: str, role: decision_types.Role, until: float
     ) -> None:
-        """Believes an engine's role before its entry shows it."""
+        """Sets an engine's role until its entry shows it."""
         self.confirmed_roles[instance] = (role, until)
         self.changing_until.pop(instance, None)
         self.paused_until.pop(instance, None)
@@ -412,7 +432,7 @@
     def role(
         self, replica: types.Replica, now: float
     ) -> decision_types.Role | None:
-        """What an engine does, by what is known best."""
+        """Returns an engine's role: the confirmed one, else its entry's."""
         role, until = self.confirmed_roles.get(replica.instance, (None, 0.0))
         if role is not None and now < until:
             return role
@@ -421,10 +441,10 @@
     def least_busy(
         self, replicas: list[types.Replica], data_centre: str = ""
     ) -> types.Replica | None:
-        """The one with the least of this node's work for its slots.
+        """Returns the replica with the fewest of this node's requests a slot.
 
-        Among equals one of the given data centre, then any at random, so
-        that the nodes do not all choose the same.
+        Ties go to the given data centre, then are broken at random, so that
+        the nodes do not all choose the same replica.
         """
         best = None
         best_key = None
@@ -445,11 +465,11 @@
         data_centre: str,
         connected: Callable[[types.Replica], bool] = lambda replica: True,
     ) -> types.Replica | None:
-        """The generating engine with the most room left, by all nodes.
+        """Returns the decode engine least loaded by all nodes together.
 
-        One of the given data centre goes before others that are a tenth
-        emptier: a KV cache takes twice as long from one to another. So does
-        one to which a connection is open.
+        An engine of the given data centre is preferred to others that are up
+        to a tenth less loaded: a KV transfer between data centres takes twice
+        as long. So is an engine with an open connection.
         """
         now = time.monotonic()
         best = None
@@ -466,13 +486,13 @@
         return best
 
     def pause(self, instance: str, now: float, seconds: float) -> None:
-        """Sends a replica nothing more for a moment while there are others."""
+        """Sends a replica no work for some seconds while there are others."""
         self.paused_until[instance] = now + seconds
 
     def request_started(self, instance: str, now: float) -> None:
-        """Counts a request that is sent to a replica."""
+        """Counts a request sent to a replica."""
         self.silence.started(instance, now)
 
     def request_ended(self, instance: str) -> None:
-        """Counts the end of such a request."""
+        """Counts the end of a request."""
         self.silence.ended(instance)
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -1,4 +1,4 @@
-"""Checks whether replicas live that are silent or broke off an answer."""
+"""Probes replicas that are silent or broke off an answer."""
 
 import asyncio
 import contextlib
@@ -8,16 +8,16 @@
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import types
 
-# Seconds between two looks for replicas to ask, and the least where one broke
-# off: what it interrupted waits for the answer.
+# Seconds between two checks for replicas to probe, and the minimum after one
+# broke off an answer: the interrupted requests wait for the result.
 CHECK_INTERVAL_SECONDS = 0.1
 MIN_CHECK_INTERVAL_SECONDS = 0.01
-# Seconds that a replica has to answer; a report takes 3 ms.
+# Seconds that a replica has to answer a probe; a report takes 3 ms.
 TIMEOUT_SECONDS = 0.25
 
 
 class LivenessChecks:
-    """Stops using replicas that do not answer, until they do.
+    """Marks replicas that do not answer as suspect, until they do.
 
     >>> checks = LivenessChecks(directory, endpoints)
     >>> await checks.run()
@@ -30,7 +30,7 @@
         self.endpoints = endpoints
 
     async def run(self) -> None:
-        """Looks again and again for as long as the node runs."""
+        """Probes replicas for as long as the node runs."""
         while True:
             await asyncio.sleep(MIN_CHECK_INTERVAL_SECONDS)
             with contextlib.suppress(TimeoutError):
@@ -42,7 +42,10 @@
                     group.create_task(self.probe(instance))
 
     async def probe(self, instance: str) -> None:
-        """Asks one replica; an answer of any other instance is none."""
+        """Probes one replica.
+
+        An answer from another instance means that its process has ended.
+        """
         replica = self.directory.replicas.get(instance)
         if replica is None:
             self.directory.suspects.discard(instance)
