--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -137,14 +137,16 @@
         )
         return True
 
-    def replica_restarted(self, replica: types.Replica, born: int) -> None:
+    def replica_restarted(
+        self, replica: types.Replica, started_at: int
+    ) -> None:
         """Drops the state kept for a replica's previous incarnation."""
         events.log(
             events.REPLICA_RESTARTED,
             instance=replica.instance,
             service=replica.service,
             before=replica.started_at,
-            born=born,
+            born=started_at,
         )
         for listener in self.crash_listeners:
             listener(replica)
