--- a/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
@@ -58,13 +58,13 @@
         if seconds is not None:
             events.log(events.STORE_REGAINED, seconds=round(seconds, 3))
 
-    def confirm_relayed(self, first_hand: bool) -> None:
+    def confirm_relayed(self, direct: bool) -> None:
         """Notes that another node says that the store was there all along.
 
         Args:
             first_hand: Whether it knows that by its own calls.
         """
-        self.contact.confirm(first_hand, clocks.now())
+        self.contact.confirm(direct, clocks.now())
 
     def shared_grace(self, between_relays: bool) -> float:
         """Seconds for which a missing entry is believed, as sent to others.
