--- a/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
@@ -66,14 +66,14 @@
         """
         self.contact.confirm(direct, clocks.now())
 
-    def shared_grace(self, between_relays: bool) -> float:
+    def shared_grace(self, may_forward: bool) -> float:
         """Seconds for which a missing entry is believed, as sent to others.
 
         Args:
             between_relays: Whether it is sent to other relays, which may
                 forward it.
         """
-        return self.contact.shared_grace(between_relays, clocks.now())
+        return self.contact.shared_grace(may_forward, clocks.now())
 
     def grace(self) -> float:
         """Seconds for which a missing entry is believed."""
