--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -1,11 +1,10 @@
-"""Learns at a restart what the engines keep of prompts read before it.
-
-A node that starts in the middle of a day believes that nothing is cached,
-sends prompts away from their homes and has them read again. So it asks each
-engine once; afterwards the nodes tell each other. Where a relay speaks for a
-data centre it alone asks the engines: after 195 nodes had lost power they
-asked 78 engines 15,000 times within seconds, and each list holds its engine
-up.
+"""Loads at startup which prefix blocks each engine has cached.
+
+A node that restarts would otherwise assume empty caches, send prompts to other
+than their preferred engines and have them prefilled again. So it asks each
+engine once; later changes come from the other nodes. If a relay serves the data
+centre, only the relay asks the engines: after a power loss 195 nodes asked 78
+engines 15,000 times within seconds, and each list delays its engine's work.
 """
 
 import asyncio
@@ -22,17 +21,22 @@
 from gypsumfold.gateway.peers import gossip as gossip_module
 from gypsumfold.gateway.peers import questions as questions_module
 
-# Seconds between two looks for engines that were not asked yet, and for how
-# long after the start that is done.
+# Seconds between two checks for engines that were not asked yet, and the number
+# of checks after startup.
 CHECK_INTERVAL_SECONDS = 0.1
 MAX_CHECKS = 60
-# Seconds for one list; it waits for a pause in the engine's work.
+# Seconds for one list, which waits for a pause in the engine's work.
 TIMEOUT_SECONDS = 1.0
 ENCODER = msgspec.msgpack.Encoder()
 
 
 class CacheLists:
-    """Asks each engine once for the parts of prompts that it keeps.
+    """Asks each engine once for the prefix blocks that it has cached.
+
+    Attributes:
+        asked: Instances that were asked.
+        started: Whether `run` has started.
+        has_lists: Whether this node has any lists.
 
     >>> lists = CacheLists(
     ...     directory, configurations, endpoints, homes, gossip, questions
@@ -60,7 +64,7 @@
         self.has_lists = False
 
     async def run(self) -> None:
-        """Asks in the first seconds: the engines, or the relay that did."""
+        """Asks the engines, or the relay that asked them, after startup."""
         self.started = True
         for _ in range(MAX_CHECKS):
             if self.gossip.leads():
@@ -71,7 +75,7 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def ask_relay(self) -> None:
-        """Learns from the relay what it knows by now."""
+        """Asks the relay for the lists that it has."""
         relay = self.gossip.relay_address()
         if relay is None:
             return
@@ -79,7 +83,7 @@
             body = await self.questions.ask(relay, questions_module.CACHES)
             found = questions_module.CACHES_DECODER.decode(body)
         except exceptions.PeerRefused:
-            # It has no lists yet, as it may have started just now, too.
+            # It has no lists yet; it may have just started, too.
             return
         except (
             exceptions.PeerError,
@@ -87,7 +91,7 @@
             msgspec.DecodeError,
         ) as error:
             events.log(events.PEER_SILENT, reason=str(error))
-            # Others ask it too; its link may be full of answers.
+            # Other nodes ask it too; its link may be saturated by answers.
             await asyncio.sleep(TIMEOUT_SECONDS)
             return
         self.has_lists = True
@@ -95,7 +99,7 @@
             self.apply_links(caches)
 
     def apply_links(self, caches: questions_module.CacheLinks) -> None:
-        """Takes in what the relay believes that one engine keeps."""
+        """Applies the relay's list for one engine."""
         replica = self.directory.replicas.get(caches.engine)
         if replica is None or incarnations.is_later_start(
             caches.born, replica.started_at
@@ -112,7 +116,7 @@
         )
 
     def encode_caches(self) -> bytes:
-        """What this node believes of caches; empty while it still asks."""
+        """Returns the lists for other nodes; empty while this node has none."""
         if self.started and not self.has_lists:
             return b""
         found = []
@@ -128,7 +132,7 @@
         return ENCODER.encode(found)
 
     def service(self, replica: types.Replica) -> types.Service | None:
-        """The declared service of an engine; None for other replicas."""
+        """Returns an engine's declared service; None for other replicas."""
         configuration = self.configurations.current
         if configuration is None:
             return None
@@ -138,7 +142,7 @@
         return service
 
     async def ask_engines(self) -> None:
-        """Asks the engines that were not asked yet."""
+        """Asks the engines that were not asked before."""
         async with asyncio.TaskGroup() as group:
             for replica in list(self.directory.replicas.values()):
                 service = self.service(replica)
@@ -152,7 +156,7 @@
     async def ask_engine(
         self, replica: types.Replica, service: types.Service
     ) -> None:
-        """Asks one engine; without its answer it counts as empty."""
+        """Asks one engine; without an answer its cache counts as empty."""
         try:
             async with asyncio.timeout(TIMEOUT_SECONDS):
                 found = await self.endpoints.cache_list(replica)
--- a/packages/gypsumfold/src/gypsumfold/gateway/configurations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/configurations.py
@@ -1,4 +1,4 @@
-"""The configuration in force, and which one other nodes have."""
+"""The configuration in force and the newest version at other nodes."""
 
 from collections.abc import Callable
 import math
@@ -16,10 +16,11 @@
     """Keeps the newest configuration; an older one never replaces it.
 
     Attributes:
-        current: What is in force; None before the first.
-        record: As the operators wrote it, for other nodes.
-        announced: The newest version that another node had in force.
-        announced_at: When that was first heard, by `clocks.now`.
+        current: The configuration in force; None before the first.
+        record: Its bytes as the operators wrote them, for other nodes.
+        announced: The newest version that another node has reported.
+        announced_at: When it was first reported, by `clocks.now`.
+        listeners: Called with each new configuration.
     """
 
     def __init__(self):
@@ -30,34 +31,34 @@
         self.listeners: list[Callable[[types.Configuration], None]] = []
 
     def replace(self, records: list[store_module.Record]) -> None:
-        """Takes in the newest record of every key."""
+        """Applies the newest record of every key."""
         self.apply_records(records, "newest")
 
     def update(self, records: list[store_module.Record]) -> None:
-        """Takes in records that came since."""
+        """Applies records written since the last read."""
         self.apply_records(records, "read")
 
     def apply_records(
         self, records: list[store_module.Record], source: str
     ) -> None:
-        """Takes in records of the store."""
+        """Puts newer configurations among the store's records in force."""
         for record in records:
             if record.key != names.CONFIGURATION_KEY or not record.value:
                 continue
             self.offer(record.value, source)
 
     def version(self) -> int:
-        """Of the configuration in force; 0 for none."""
+        """Returns the version in force; 0 for none."""
         return self.current.version if self.current else 0
 
     def announce(self, version: int) -> None:
-        """Notes which version another node has in force."""
+        """Records the version that another node has in force."""
         if version > self.announced:
             self.announced = version
             self.announced_at = clocks.now()
 
     def seconds_behind(self) -> float:
-        """Seconds for which a newer version has been known of; 0 for none."""
+        """Returns the seconds since a newer version was reported; or 0."""
         if self.version() >= self.announced:
             return 0.0
         return clocks.now() - self.announced_at
@@ -66,9 +67,9 @@
         """Puts a configuration in force if it is newer.
 
         Args:
-            record: As the operators wrote it.
-            source: How it came, for the log: "newest" or "read" from the
-                store, or "peer".
+            record: Its bytes as the operators wrote them.
+            source: Where it came from, for the log: "newest" or "read" from
+                the store, or "peer".
         """
         try:
             found = decoding.configuration(record)
--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -1,9 +1,9 @@
-"""Which node may give orders to engines: the one that the store names.
+"""Elects the node that may give orders to engines, through the store.
 
-All nodes join one group of the store, which shares out the partitions of a
-topic. Whoever holds partition 0 may give orders, and the group's generation
-is the fencing token: the store raises it with each change, so that no two
-holders have the same one.
+Nodes join one group of the store, which assigns the partitions of a topic to
+its members. The holder of partition 0 may give orders, and the group's
+generation is the fencing token: the store raises it with each change, so that
+no two holders have the same one.
 """
 
 import asyncio
@@ -18,26 +18,35 @@
 from gypsumfold.gateway import topic_watches
 from gypsumfold.platform import store as store_module
 
-# The group of all nodes, and the topic whose partition 0 is the authority.
+# The group of the nodes, and the topic whose partition 0 grants the authority.
 GROUP = "gypsumfold-nodes"
 TOPIC = "gypsumfold-authority"
-# Renewals in one lease: two may be lost.
+# With three renewals in one lease, two may be lost.
 RENEWALS_PER_LEASE = 3.0
-# Share of the lease for which a holder believes in it: the store counts from
-# the renewal's arrival, a holder from before it was sent, and clocks drift
-# by far less than this.
+# Fraction of the lease for which a holder treats it as valid. The store counts
+# from the renewal's arrival, the holder from before it was sent, and clocks
+# drift by far less than the rest.
 VALID_FRACTION = 0.8
-# Seconds for which a node stays in the group after it last offered itself: a
-# relay that was silent for a moment is back within a few.
+# Seconds for which a node stays in the group after it was last a candidate: a
+# relay that was silent for a moment is back within a few seconds.
 STAY_SECONDS = 10.0
-# Looks at a start whether this node may offer itself, and seconds between
-# them: it may once it has read who else takes part, after some 50 ms.
+# Checks at startup whether this node is a candidate, and seconds between them.
+# It knows once it has read the other members, after some 50 ms.
 INITIAL_CHECKS = 50
 INITIAL_CHECK_SECONDS = 0.02
 
 
 class Leadership:
-    """Joins the group again and again; knows whether it may give orders.
+    """Renews the membership of the group; knows whether it may give orders.
+
+    Attributes:
+        is_candidate: Whether this node should join the group.
+        candidate_at: When it was last a candidate.
+        joined: Whether it is a member of the group.
+        lease_seconds: How long a membership lasts without a renewal.
+        generation: The group's generation at the last renewal.
+        valid_until: Until when this node may give orders.
+        is_holder: Whether the last renewal assigned partition 0.
 
     >>> leadership = Leadership(settings, store, state, "edge-1-0193")
     >>> leadership.token(now=0.0) is None
@@ -66,13 +75,13 @@
         self.is_holder = False
 
     def token(self, now: float) -> int | None:
-        """The fencing token of an order given now; None to give none."""
+        """Returns the fencing token for orders, or None if not the holder."""
         if now >= self.valid_until:
             return None
         return self.generation
 
     async def run(self) -> None:
-        """Renews for as long as the node runs."""
+        """Renews the membership for as long as the node runs."""
         for _ in range(INITIAL_CHECKS):
             if self.is_candidate():
                 break
@@ -83,10 +92,10 @@
             await asyncio.sleep(pause * random.uniform(0.8, 1.0))
 
     async def check(self) -> None:
-        """Renews while this node offers to give orders, and a while longer.
+        """Renews while this node is a candidate and `STAY_SECONDS` longer.
 
-        A few nodes of hundreds are enough, and each change of the group
-        hands the authority over.
+        A few candidates among hundreds of nodes are enough, and each change of
+        the group transfers the authority.
         """
         now = time.monotonic()
         if self.is_candidate():
@@ -97,7 +106,7 @@
             await self.leave()
 
     async def renew(self) -> None:
-        """Stays in the group and learns what this node holds."""
+        """Renews the membership and updates what this node holds."""
         sent = time.monotonic()
         asked = clocks.now()
         try:
@@ -122,7 +131,7 @@
             events.log(event, token=place.generation)
 
     async def leave(self) -> None:
-        """Gives the authority up, for a shutdown."""
+        """Leaves the group and gives up the authority."""
         self.valid_until = float("-inf")
         self.joined = False
         if self.is_holder:
@@ -132,5 +141,5 @@
         try:
             await self.store.leave(GROUP, self.member)
         except exceptions.PlatformError as error:
-            # The membership lapses by itself.
+            # The membership expires without it.
             self.state.call_failed(error, asked)
--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -1,4 +1,4 @@
-"""The replicas' registrations in the store, as this node knows them."""
+"""This node's copy of the replicas' registrations in the store."""
 
 from collections.abc import Callable
 import time
@@ -15,13 +15,14 @@
 from gypsumfold.platform import decoding
 from gypsumfold.platform import store as store_module
 
-# Seconds that a read of the registrations waits at most.
+# Longest wait of one read of the registrations, in seconds.
 MAX_WAIT_SECONDS = 1.0
-# Share of the time within which a leaving replica must be known for which a
-# node waits that reads for others: what it says is then younger than the age
-# at which they read for themselves (`decisions/following.py`).
+# Longest wait of a node that reads for others, as a fraction of the time within
+# which a draining replica must be known. What it sends is then younger than the
+# age at which other nodes read the store themselves
+# (`decisions/topic_staleness.py`).
 READER_WAIT_FRACTION = 0.3
-# Entries that are remembered as logged already; more in one fleet are logged
+# Invalid entries remembered as already logged; beyond that they are logged
 # again.
 MAX_SKIPPED = 256
 # Encoding of registrations in messages between nodes.
@@ -30,13 +31,13 @@
 
 
 class Registrations:
-    """Keeps the directory of replicas as the store has it.
+    """Updates the directory of replicas from their registrations.
 
     Attributes:
-        registry: The entries as they stand in the log, to be sent to others.
-        skipped: The last entry under each key that could not be used.
-        unreadable: How many such entries were seen.
-        changed: Called where a reading has brought something new.
+        registry: The newest entry of each key, to be sent to other nodes.
+        skipped: The last invalid entry of each key.
+        unreadable: Number of invalid entries seen.
+        on_change: Called after a read that changed the registry.
     """
 
     def __init__(
@@ -52,7 +53,7 @@
         self.on_change: Callable[[], None] = lambda: None
 
     def replace(self, records: list[store_module.Record]) -> None:
-        """Takes in the newest record of every key."""
+        """Replaces all entries by the newest record of every key."""
         before = self.registry.digest
         self.apply_records(records)
         present = {record.key for record in records if record.value}
@@ -66,19 +67,19 @@
         self.finish_read(before)
 
     def update(self, records: list[store_module.Record]) -> None:
-        """Takes in records that came since."""
+        """Applies records written since the last read."""
         before = self.registry.digest
         self.apply_records(records)
         self.finish_read(before)
 
     def finish_read(self, before: int) -> None:
-        """Ends a reading; says so where the digest is another than before."""
+        """Drops expired replicas; calls `on_change` if the digest changed."""
         self.directory.expire(time.monotonic())
         if self.registry.digest != before:
             self.on_change()
 
     def apply_records(self, records: list[store_module.Record]) -> None:
-        """Puts records into the registry and the directory."""
+        """Applies records to the registry and the directory."""
         now = clocks.now()
         for record in records:
             if self.registry.is_stale(record.key, record.offset):
@@ -103,13 +104,13 @@
     def merge(
         self, changes: list[registry_module.Change], grace: float
     ) -> None:
-        """Takes in changes that a relay has read.
+        """Applies changes that a relay has read.
 
         Args:
             changes: The changes.
-            grace: Seconds for which the relay still believes in an entry that
-                went; this node never does for longer than by its own calls,
-                since a relay that is cut off must not answer for the store.
+            grace: Seconds for which the relay keeps a replica whose entry was
+                removed. This node's own grace period limits it, since a relay
+                without contact to the store must not speak for it.
         """
         now = clocks.now()
         grace = min(grace, self.state.grace())
@@ -129,7 +130,7 @@
     def merge_all(
         self, changes: list[registry_module.Change], end: int
     ) -> None:
-        """Takes in all entries that another node knows.
+        """Applies the complete registrations of another node.
 
         Args:
             changes: One for each replica.
@@ -140,7 +141,7 @@
         self.merge([*changes, *missing], self.state.grace())
 
     def skip(self, record: store_module.Record, reason: str) -> None:
-        """Counts an entry that names no replica; logs the same one once."""
+        """Counts an invalid entry; logs each one once."""
         if self.skipped.get(record.key) == record.value:
             return
         if len(self.skipped) >= MAX_SKIPPED:
@@ -150,5 +151,5 @@
         events.log(events.RECORD_SKIPPED, key=record.key, reason=reason)
 
     def drop(self, instance: str, grace: float) -> None:
-        """Drops a replica, at once unless the store was just away."""
+        """Drops a replica, after a grace period if the store was lost."""
         self.directory.drop(instance, grace, time.monotonic())
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -1,6 +1,7 @@
-"""What this node knows from the store: read by itself, or sent by a relay.
+"""This node's copy of the store: read by itself, or sent by a relay.
 
-`decisions/following.py` says when a node that follows a relay reads for itself.
+`decisions/topic_staleness.py` decides when a node that follows a relay reads
+the store itself.
 """
 
 import asyncio
@@ -21,20 +22,27 @@
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import questions as questions_module
 
-# Seconds between two questions for all registrations: where the answer does
-# not settle the difference, the store is read.
+# Seconds between two requests to a peer for all registrations. If the answer
+# doesn't resolve the difference, the store is read.
 QUESTION_INTERVAL_SECONDS = 1.0
 ENCODER = msgspec.msgpack.Encoder()
 
 
 class StoreCopy:
-    """The two topics that every node follows, and how old they are.
+    """This node's copy of the two topics that every node follows.
 
-    >>> knowledge = Knowledge(
+    Attributes:
+        newer_peer: Address of a node with a newer configuration.
+        differing_peer: Address of a node with other registrations.
+        next_question: Earliest time to ask a peer for all registrations.
+        fetch_needed: Set when a peer may have to be asked.
+        was_stale: Whether the registrations were stale at the last check.
+
+    >>> copy = StoreCopy(
     ...     registrations, configurations, watches[0], watches[1],
     ...     gossip.reads, questions, reads.limits(contact=3.0)
     ... )
-    >>> knowledge.reads_registrations()
+    >>> copy.should_read_registrations()
     True
     """
 
@@ -66,7 +74,7 @@
         configuration_watch.should_read = self.should_read_configuration
 
     def should_read_registrations(self) -> bool:
-        """Whether this node is to read the registrations now."""
+        """Whether this node should read the registrations now."""
         watch = self.registrations_watch
         if self.is_reader() or not watch.has_read_all:
             return True
@@ -87,10 +95,10 @@
         return stale
 
     def should_read_configuration(self) -> bool:
-        """Whether this node is to read the configuration now.
+        """Whether this node should read the configuration now.
 
-        Where it has just read the registrations in doubt of its relay, that
-        relay's word on the configuration is in doubt too.
+        If it has just read the registrations because its relay's were stale,
+        the relay's configuration is suspect too.
         """
         watch = self.configuration_watch
         if self.is_reader() or not watch.has_read_all:
@@ -105,11 +113,11 @@
         return now - self.registrations_watch.direct_read_at < longest < age
 
     def outgoing(self, between_relays: bool) -> messages.Knowledge | None:
-        """What other nodes are sent; None at a start.
+        """Returns the summary for other nodes; None before the first read.
 
         Args:
-            between_relays: Whether it is sent to other relays, which send to
-                this one.
+            between_relays: Whether it is sent to other relays, which also send
+                theirs to this one.
         """
         registrations = self.registrations_watch
         configuration = self.configuration_watch
@@ -137,11 +145,11 @@
         address: tuple[str, int],
         between_relays: bool,
     ) -> None:
-        """Takes in what a relay knows.
+        """Applies a relay's summary of its copy.
 
         Args:
-            knowledge: What it sent.
-            address: Where it answers questions.
+            knowledge: The summary.
+            address: The relay's address for requests.
             between_relays: Whether it came from another relay, which sends
                 only what it has read itself.
         """
@@ -175,7 +183,7 @@
         address: tuple[str, int],
         now: float,
     ) -> None:
-        """Takes in which configuration a relay has."""
+        """Compares a relay's configuration version with this node's."""
         self.configurations.announce(knowledge.version)
         version = self.configurations.version()
         if version < knowledge.version:
@@ -191,11 +199,11 @@
             )
 
     def is_behind(self) -> bool:
-        """Whether a newer configuration is known of."""
+        """Whether another node has a newer configuration."""
         return self.configurations.version() < self.configurations.announced
 
     async def fetch(self) -> None:
-        """Asks those who know more, for as long as the node runs."""
+        """Asks peers with newer data, for as long as the node runs."""
         while True:
             await self.fetch_needed.wait()
             self.fetch_needed.clear()
@@ -207,14 +215,14 @@
                 exceptions.RecordInvalid,
                 msgspec.DecodeError,
             ) as error:
-                # The store has it as well, and is asked next.
+                # The store, which has the same data, is read next.
                 events.log(events.PEER_SILENT, reason=str(error))
 
     async def fetch_configuration(self) -> None:
-        """Asks for a newer configuration, if the store did not give it.
+        """Asks a peer for a newer configuration that this node still lacks.
 
         Raises:
-            exceptions.PeerError: Nobody answers.
+            exceptions.PeerError: The peer does not answer.
             exceptions.RecordInvalid: The answer is not sealed.
         """
         if self.newer_peer is None or not self.is_behind():
@@ -231,14 +239,14 @@
         self.configurations.offer(record, "peer")
 
     async def fetch_registrations(self) -> None:
-        """Asks for all registrations, if another node knows others.
+        """Asks a peer whose registrations differ for all of them.
 
         A node that cannot read the store has no other way to catch up.
 
         Raises:
-            exceptions.PeerError: Nobody answers.
+            exceptions.PeerError: The peer does not answer.
             exceptions.RecordInvalid: The answer is not sealed.
-            msgspec.DecodeError: It cannot be read.
+            msgspec.DecodeError: The answer cannot be decoded.
         """
         address, self.differing_peer = self.differing_peer, None
         if address is None:
@@ -253,7 +261,7 @@
         self.registrations.merge_all(changes, found.end)
 
     def encode_registrations(self) -> bytes:
-        """All registrations, for a node that knows others."""
+        """Returns all registrations, for a node whose copy differs."""
         entries = []
         for key, known in self.registrations.registry.values.items():
             entries.append(messages.Changed(key, known[0], known[1]))
@@ -264,6 +272,6 @@
 def sent_age(
     known: topic_staleness.TopicStaleness, now: float, between_relays: bool
 ) -> float:
-    """The age of what is known, as it is sent."""
+    """Returns the age of a copy, as it is sent to other nodes."""
     known_at = known.read_at if between_relays else known.known_at
     return round(min(now - known_at, topic_watches.MAX_AGE_SECONDS), 3)
--- a/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/topic_watches.py
@@ -1,4 +1,4 @@
-"""Follows topics of the store, and whether the store answers."""
+"""Follows topics of the store and tracks whether the store answers."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,19 +17,19 @@
 
 # Seconds until all keys are read again, in case a record was missed.
 REREAD_SECONDS = 20.0
-# Seconds between two looks of a node that follows a relay, whether it is to
-# read the store itself: a tenth of the time within which it must have read.
+# Seconds between two checks of a node that follows a relay whether to read the
+# store itself: a tenth of the time within which it must have read.
 CHECK_INTERVAL_SECONDS = 0.2
-# Seconds of age beyond which it does not matter how old something is: where
-# nothing was ever read the age is infinite, which JSON does not have.
+# Largest age that is logged or sent. Before the first read the age is infinite,
+# which JSON can't express.
 MAX_AGE_SECONDS = 1e5
 
 
 class StoreState:
-    """Whether the store answers this node; logs where that changes.
+    """Whether the store answers this node; logs changes.
 
     >>> state = StoreState(bound=3.0)
-    >>> state.failed(error, asked=clocks.now())
+    >>> state.call_failed(error, asked=clocks.now())
     """
 
     def __init__(self, bound: float):
@@ -38,10 +38,10 @@
     def call_failed(
         self, error: exceptions.PlatformError, asked: float
     ) -> None:
-        """Notes a call that failed.
+        """Records a failed call.
 
-        A kept connection that is lost says nothing of the store: the next
-        call, on a new one, does.
+        The loss of a kept-alive connection says nothing about the store; the
+        next call, on a new connection, does.
 
         Args:
             error: What went wrong.
@@ -53,63 +53,63 @@
             events.log(events.STORE_LOST, reason=str(error))
 
     def call_answered(self) -> None:
-        """Notes a call that was answered."""
+        """Records an answered call."""
         seconds = self.contact.answered(clocks.now())
         if seconds is not None:
             events.log(events.STORE_REGAINED, seconds=round(seconds, 3))
 
     def confirm_relayed(self, direct: bool) -> None:
-        """Notes that another node says that the store was there all along.
+        """Records another node's confirmation that the store was reachable.
 
         Args:
-            first_hand: Whether it knows that by its own calls.
+            direct: Whether that node's own calls were answered.
         """
         self.contact.confirm(direct, clocks.now())
 
     def shared_grace(self, may_forward: bool) -> float:
-        """Seconds for which a missing entry is believed, as sent to others.
+        """Returns the grace period that is sent to other nodes, in seconds.
 
         Args:
-            between_relays: Whether it is sent to other relays, which may
-                forward it.
+            may_forward: Whether the receivers may forward it.
         """
         return self.contact.shared_grace(may_forward, clocks.now())
 
     def grace(self) -> float:
-        """Seconds for which a missing entry is believed."""
+        """Returns the seconds to keep a replica whose entry is missing."""
         return self.contact.grace(clocks.now())
 
 
 class Consumer(Protocol):
-    """What a keyed topic's records are for."""
+    """Receives the records of a keyed topic."""
 
     def replace(self, records: list[store_module.Record]) -> None:
-        """Takes in the newest record of every key."""
+        """Replaces all entries by the newest record of every key."""
 
     def update(self, records: list[store_module.Record]) -> None:
-        """Takes in records that came since."""
+        """Applies records written since the last read."""
 
 
 class TopicWatch:
-    """Follows one keyed topic; goes on from the newest after any doubt.
+    """Follows one keyed topic; after a failed read it reads all keys again.
 
     Attributes:
-        flowing: Whether the last read brought records.
-        asked: When the last call was made.
-        read: Whether the whole topic was read once.
+        has_new_records: Whether the last read returned records.
+        has_read_all: Whether the entire topic was read once.
+        called_at: When the last call was made.
         position: Offset of the next record.
-        whole_at: When all was known; the newest records are read again some
-            time after that.
-        doubted: Whether a read failed since the newest records were read.
-            What others know does not settle that: they may all have missed
-            what the store has forgotten.
-        following: How old what is known is at the worst.
-        alone_at: When this node last read though it follows a relay, on the
-            clock that counts suspension.
-        needed: Whether this node is to read now.
-        wake: Set where it is to look at that at once.
-
-    >>> watch = Watch(
+        complete_at: When this copy was last complete; all keys are read again
+            `REREAD_SECONDS` after that.
+        is_suspect: Whether a read has failed since all keys were read. An
+            equal copy of another node doesn't clear it: all nodes may have
+            missed records that the store no longer has.
+        staleness: The maximum age of this copy.
+        direct_read_at: When this node last read although it follows a relay,
+            on the clock that counts suspension.
+        should_read: Whether this node should read now.
+        is_reader: Whether this node reads the store for others.
+        wake: Set to check `should_read` at once.
+
+    >>> watch = TopicWatch(
     ...     store, state, topic, consumer, lambda: 0.0, lambda: 1.0
     ... )
     >>> await watch.run()
@@ -164,7 +164,7 @@
                 )
 
     def read_failed(self, error: exceptions.PlatformError) -> float:
-        """Has all read again after a failed read; returns its seconds."""
+        """Has all keys read again; returns the seconds of the failed read."""
         self.is_suspect = True
         now = clocks.now()
         took = now - self.called_at
@@ -179,11 +179,12 @@
         return took
 
     def cancel_overdue_read(self, since: float, limit: float) -> None:
-        """Gives up a read that waits for what another node has read.
+        """Cancels a read that still waits for what another node has read.
 
         Args:
-            since: When that was first known, by `clocks.now`.
-            limit: Seconds that it may wait on.
+            since: When this node learnt of that, by `clocks.now`.
+            limit: Seconds from then on, or from the call if it is later, that
+                the read may take.
         """
         if self.read_timeout is None:
             return
@@ -191,7 +192,7 @@
             self.read_timeout.reschedule(asyncio.get_running_loop().time())
 
     async def wait_for_check(self) -> None:
-        """Waits until it is time to look again whether to read."""
+        """Waits until `should_read` is to be checked again."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(
                 CHECK_INTERVAL_SECONDS * random.uniform(0.5, 1.0)
@@ -200,7 +201,7 @@
         self.wake.clear()
 
     async def read_once(self) -> None:
-        """Reads once: the newest records, or those that came since."""
+        """Reads all keys or only the records written since the last read."""
         alone = not self.is_reader()
         now = clocks.now()
         if self.is_suspect or now - self.complete_at > REREAD_SECONDS:
@@ -230,7 +231,7 @@
         self.staleness.record_read(asked)
 
     async def read_updates(self) -> None:
-        """Reads the records that came since; waits for one as a reader."""
+        """Reads the records since the last read; a reader waits for one."""
         wait = 0.0
         if self.is_reader():
             await asyncio.sleep(self.pause())
@@ -242,16 +243,17 @@
         self.position = max(page.end, self.position)
         self.has_new_records = bool(page.records)
         if not page.records and not self.is_reader():
-            # A relay that speaks of more is not asked for it in a loop.
+            # Avoids a busy loop while a relay reports records not read here.
             await self.wait_for_check()
-        # The store answers an empty page once it has waited in vain.
+        # The store answers with an empty page after the entire wait.
         self.staleness.record_read(asked if page.records else asked + wait)
 
     async def read_page(self, start: int, wait: float) -> store_module.Page:
-        """Reads from an offset on, unless that becomes overdue.
+        """Reads records from an offset on.
 
         Raises:
-            exceptions.ReadOverdue: Another node has read more meanwhile.
+            exceptions.ReadOverdue: Another node has read more, and this read
+                was cancelled.
             exceptions.PlatformError: The store did not answer.
         """
         try:
@@ -264,7 +266,12 @@
             self.read_timeout = None
 
     def confirm_relayed(self, end: int, known_at: float) -> None:
-        """Takes over how far a relay has read that knows the same."""
+        """Records the position and time of a relay with an equal copy.
+
+        Args:
+            end: Offset up to which it has read.
+            known_at: When its copy was up to date.
+        """
         self.position = max(end, self.position)
         self.complete_at = max(known_at, self.complete_at)
         self.staleness.confirm(known_at)
@@ -276,5 +283,5 @@
 def rounded_age(
     known: topic_staleness_module.TopicStaleness, now: float
 ) -> float:
-    """The age of what is known, for a log line."""
+    """Returns the age of a copy, capped and rounded for a log line."""
     return round(min(known.age(now), MAX_AGE_SECONDS), 3)
