--- a/packages/gypsumfold/src/gypsumfold/gateway/__init__.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/__init__.py
@@ -1,1 +1,1 @@
-"""The node on a platform that has a store, a balancer and replicas."""
+"""The gateway: the node on a platform with a store, balancer and replicas."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""One gateway: composes all parts and runs them until it is told to stop."""
+"""The gateway process: creates all parts and runs them until it is stopped."""
 
 import asyncio
 import collections
@@ -48,22 +48,28 @@
 from gypsumfold.platform import replicas
 from gypsumfold.platform import store as store_module
 
-# Seconds until a task that failed is started again, plus up to as much.
+# Seconds until a failed task is restarted, plus up to as much at random.
 RESTART_SECONDS = 0.2
-# Seconds between two looks at the settings file, log lines and gauges.
+# Seconds between two checks of the settings file, log lines and gauges.
 HOUSEKEEPING_SECONDS = 1.0
-# Seconds between two lines on calls to the store and what others were sent.
+# Seconds between two log lines on calls to the store and datagrams sent.
 TRAFFIC_LOG_SECONDS = 10.0
-# Seconds for which a stopping node listens on: the balancer asks once a
-# second and takes a node out after two answers.
+# Seconds for which a stopping node goes on listening: the balancer checks once
+# a second and removes a node after two negative answers.
 DRAIN_NOTICE_SECONDS = 2.9
-# Seconds before the kill at which a stopping node gives its last answers.
+# Seconds before the kill at which a stopping node gives its final answers.
 FINAL_ANSWER_SECONDS = 0.7
 
 
 class Gateway:
     """The process on one entry VM.
 
+    Attributes:
+        member: This incarnation's unique name among the nodes.
+        stop: Set to shut down.
+        reload: Set to load the settings file again.
+        settings_modified_at: Modification time of the loaded settings file.
+
     >>> gateway = Gateway(settings, pathlib.Path("gateway.toml"), lines)
     >>> await gateway.run()
     """
@@ -189,7 +195,7 @@
         self.runners: list[web.ServerRunner] = []
 
     def make_watches(self) -> dict[str, topic_watches.TopicWatch]:
-        """What is followed in the store, each by a task of its own."""
+        """Creates the watches of the store's topics, one task each."""
         bound = self.settings.replicas.leaving_ms / 1000
         watches = {
             "configuration": topic_watches.TopicWatch(
@@ -230,15 +236,15 @@
         return watches
 
     def forget(self, replica: types.Replica) -> None:
-        """Drops what is kept for a replica that is gone."""
+        """Drops what is kept for a removed replica."""
         self.pool.discard(replica.address, replica.instance)
         self.prefix_router.forget(replica.instance)
 
     def registrations_pause(self) -> float:
-        """Seconds until the registrations are read again.
+        """Returns the seconds until the registrations are read again.
 
-        One that reads for others waits for a change at the store instead,
-        unless there are many.
+        A node that reads for others doesn't pause but waits at the store for a
+        change, unless there are many.
         """
         watch = self.watches["registrations"]
         if not self.gossip.meshed and not watch.has_new_records:
@@ -248,7 +254,7 @@
         )
 
     def registrations_wait(self) -> float:
-        """Seconds for which a read of the registrations waits."""
+        """Returns how long a read of the registrations waits, in seconds."""
         longest = registrations_module.MAX_WAIT_SECONDS
         if not self.gossip.meshed:
             bound = self.settings.replicas.leaving_ms / 1000
@@ -260,7 +266,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether the balancer is to send connections here."""
+        """Whether the balancer should send connections here."""
         if self.stop.is_set() or self.configurations.current is None:
             return False
         return self.watches["registrations"].has_read_all
@@ -272,7 +278,7 @@
         await self.shut_down()
 
     async def start(self) -> None:
-        """Starts all tasks and listens."""
+        """Starts all tasks and servers."""
         await self.gossip.start()
         self.supervise("entries", lambda: self.gossip.entries.run(self.gossip))
         self.supervise("gossip", self.gossip.run)
@@ -307,7 +313,7 @@
         self.runners.append(await server_module.listen(server, address))
 
     async def answer_ready(self, request: web.BaseRequest) -> web.Response:
-        """Tells the balancer whether this node is ready."""
+        """Answers the balancer's readiness check."""
         if request.path != names.READY_PATH:
             return web.Response(status=404)
         return web.Response(status=200 if self.is_ready() else 503)
@@ -315,7 +321,7 @@
     def supervise(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
-        """Runs a task until the node stops; starts it again if it fails."""
+        """Runs a task until the node stops; restarts it if it fails."""
         self.tasks[name] = asyncio.create_task(
             self.keep_running(name, function)
         )
@@ -323,17 +329,17 @@
     async def keep_running(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
-        """Runs one task again and again."""
+        """Runs a function until it returns; restarts it if it raises."""
         while True:
             try:
                 return await function()
             except Exception as error:
-                # Whatever it was, one part must not take the node down.
+                # No error of one part may stop the node.
                 events.log(events.TASK_FAILED, task=name, error=repr(error))
             await asyncio.sleep(RESTART_SECONDS * (1 + random.random()))
 
     async def housekeeping(self) -> None:
-        """Looks after the settings file, log lines and gauges."""
+        """Maintains settings, log lines, gauges and the retry budget."""
         reported = 0
         due = time.monotonic() + TRAFFIC_LOG_SECONDS
         while True:
@@ -363,7 +369,7 @@
                 reported = self.lines.dropped
 
     def share_retries(self) -> None:
-        """Shares the budget of repeats by the nodes that are known."""
+        """Divides the site's retry budget by the number of known nodes."""
         nodes = self.gossip.sharing()
         apart = self.gossip.apart()
         if (nodes, apart) == (self.budget.nodes, self.budget.partitioned):
@@ -378,7 +384,7 @@
         self.budget.partitioned = apart
 
     def update_gauges(self) -> None:
-        """Sets the gauges of what this node knows, and by whom."""
+        """Updates the gauges of nodes, relays, crashes and store calls."""
         age = self.watches["registrations"].staleness.age(clocks.now())
         self.counters.nodes.set(self.gossip.nodes())
         self.counters.relays.set(int(self.gossip.reads()))
@@ -390,14 +396,14 @@
             self.counters.store_calls.labels(call).set(count)
 
     def log_calls(self) -> None:
-        """Logs how often this node has called the store, by kind."""
+        """Logs the number of calls to the store since the last line."""
         calls = self.store.calls - self.logged_calls
         self.logged_calls = self.store.calls.copy()
         if calls:
             events.log(events.STORE_CALLED, reads=self.gossip.reads(), **calls)
 
     def log_datagrams(self) -> None:
-        """Logs what this node has sent to others, by kind."""
+        """Logs the kilobytes sent to other nodes since the last line."""
         sent = self.gossip.sender.bytes_sent
         kilobytes = {}
         for kind, size in (sent - self.logged_bytes).items():
@@ -411,7 +417,7 @@
             )
 
     def reload_settings(self) -> None:
-        """Reads the settings file again; a wrong one changes nothing.
+        """Loads the settings file again; an invalid one changes nothing.
 
         Addresses stay until the next start: connections are open on them.
         """
@@ -425,10 +431,10 @@
         events.log(events.SETTINGS_RELOADED)
 
     async def shut_down(self) -> None:
-        """Ends without cutting a request.
+        """Shuts down without interrupting a request.
 
-        The balancer learns at once that the node is not ready; what it
-        still sends is served, and each answer closes its connection.
+        Readiness checks fail at once. Requests that the balancer still sends
+        are served, and each answer closes its connection.
         """
         started = time.monotonic()
         grace = self.settings.shutdown.grace_s
@@ -452,13 +458,13 @@
 
 
 def budget_policy(settings: settings_module.Settings) -> retry_budget.Policy:
-    """The site's retry budget as the settings have it."""
+    """Returns the site's retry budget from the settings."""
     retries = settings.retries
     return retry_budget.Policy(retries.share, retries.window_s, retries.slack)
 
 
 def modified_at(path: pathlib.Path) -> int:
-    """When a file was changed; 0 where it cannot be read."""
+    """Returns a file's modification time in ns; 0 if it cannot be read."""
     try:
         return os.stat(path).st_mtime_ns
     except OSError:
--- a/packages/gypsumfold/src/gypsumfold/gateway/main.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/main.py
@@ -14,9 +14,9 @@
 from gypsumfold.gateway import line_writer as line_writer_module
 from gypsumfold.gateway import settings as settings_module
 
-# Exit code of a settings file that cannot be used (sysexits EX_CONFIG).
+# Exit code for an invalid settings file (EX_CONFIG of sysexits.h).
 EXIT_SETTINGS = 78
-# Where the platform names the settings file.
+# Environment variable in which the platform passes the settings file's path.
 SETTINGS_VARIABLE = "GYPSUMFOLD_SETTINGS"
 
 
@@ -43,7 +43,7 @@
     file: pathlib.Path,
     lines: line_writer_module.NonBlockingLineWriter,
 ) -> None:
-    """Runs a gateway; the first signal begins its graceful shutdown."""
+    """Runs a gateway; the first signal starts its graceful shutdown."""
     gateway = gateway_module.Gateway(settings, file, lines)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
--- a/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
@@ -1,4 +1,4 @@
-"""Carries the split of engines between prompts and tokens out, by orders."""
+"""Orders engines to change roles so that prefill and decode fit the load."""
 
 import asyncio
 import time
@@ -16,36 +16,36 @@
 from gypsumfold.gateway import types
 from gypsumfold.gateway.peers import gossip as gossip_module
 
-# Seconds between two looks at the engines; a look costs no call.
+# Seconds between two checks of the engines; a check makes no call.
 CHECK_INTERVAL_SECONDS = 0.15
-# Seconds beyond an engine's declared time for a change until its entry must
-# show the new role: streams that run end first, which takes as long as their
-# callers wait, and an order without an answer may be carried out 12 s later.
+# Seconds beyond an engine's declared switch time until its entry must show the
+# new role. Running streams end first, which takes as long as their callers
+# wait, and an order without an answer may be carried out 12 s later.
 ROLE_CHANGE_TIMEOUT_SECONDS = 12.0
-# Seconds beyond an engine's declared time for a change for which it gets no
-# work unless its entry shows the new role; entries come once a second.
+# Seconds beyond an engine's declared switch time for which it gets no work
+# unless its entry shows the new role; entries are renewed once a second.
 CLOSED_SECONDS = 1.5
-# Seconds between telling the other nodes and the order.
+# Seconds between the notice to the other nodes and the order.
 ORDER_DELAY_SECONDS = 0.05
-# Seconds between two questions whether a change of role is done; the entry
-# in the store shows it up to two seconds later.
+# Seconds between two polls whether a role change is done; the entry in the
+# store shows it up to two seconds later.
 POLL_INTERVAL_SECONDS = 0.15
-# Seconds for which that is believed before the entry shows it.
+# Seconds for which a confirmed role overrides the entry's.
 CONFIRMED_SECONDS = 5.0
-# Seconds until an engine that could not be ordered is looked at again.
+# Seconds until an engine that could not be ordered is tried again.
 RETRY_SECONDS = 0.5
-# Seconds for one call to an engine.
+# Time limit of one call to an engine, in seconds.
 CALL_TIMEOUT_SECONDS = 1.0
 
 
 class PendingOrder(NamedTuple):
-    """An order whose effect has not shown yet.
+    """An order whose effect is not visible yet.
 
     Attributes:
-        role: What the engine is to do.
-        until: When the effect must have shown.
-        certain: Whether the engine has accepted it; if not, it may carry it
-            out seconds later, or never.
+        role: The engine's new role.
+        until: When the order is forgotten if the role has not changed.
+        accepted: Whether the engine may be assumed to have accepted it; if
+            not, it may carry it out seconds later, or never.
     """
 
     role: decision_types.Role
@@ -54,10 +54,14 @@
 
 
 class RolePlanner:
-    """Gives orders while this node may.
+    """Plans roles and gives orders while this node holds the authority.
 
-    >>> planner = Planner(
-    ...     leadership, directory, configurations, endpoints, gossip, homes
+    Attributes:
+        pending: Orders whose effect is not visible yet, by engine.
+        splits: The planned split of roles of each service.
+
+    >>> planner = RolePlanner(
+    ...     leadership, directory, configurations, endpoints, gossip, router
     ... )
     >>> await planner.run()
     """
@@ -83,17 +87,17 @@
         directory.removal_listeners.append(self.forget)
 
     def forget(self, replica: types.Replica) -> None:
-        """Drops an order to an engine that is gone or has started again."""
+        """Drops the order to an engine that was removed or has restarted."""
         self.pending.pop(replica.instance, None)
 
     async def run(self) -> None:
-        """Looks again and again for as long as the node runs."""
+        """Plans repeatedly for as long as the node runs."""
         while True:
             await self.check()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def check(self) -> None:
-        """Orders what the plan asks for, if this node may."""
+        """Plans all services if this node holds the authority."""
         now = time.monotonic()
         if self.leadership.token(now) is None:
             self.pending.clear()
@@ -108,7 +112,7 @@
                 await self.plan(service)
 
     def discard_settled(self, now: float) -> None:
-        """Forgets orders whose effect shows, or will not any more."""
+        """Drops orders that took effect, or that have expired."""
         for instance, pending in list(self.pending.items()):
             replica = self.directory.replicas.get(instance)
             if (
@@ -121,7 +125,7 @@
                 del self.pending[instance]
 
     async def plan(self, service: types.Service) -> None:
-        """Orders what the plan of one service asks for."""
+        """Plans one service and gives the orders."""
         views = []
         now = time.monotonic()
         for replica in self.directory.responsive(service.name):
@@ -133,8 +137,8 @@
             role = self.directory.role(replica, now)
             role = pending.role if pending else role
             waiting = self.prefix_router.queued_seconds(replica.instance, now)
-            # An order that has not shown may never be carried out: its engine
-            # may have crashed since.
+            # A pending order may never be carried out: its engine may have
+            # crashed since.
             changing = pending is not None or (
                 self.directory.changing_until.get(replica.instance, 0.0) > now
             )
@@ -156,7 +160,7 @@
                 group.create_task(self.order(service, change))
 
     def load(self, service: types.Service, now: float) -> role_split.Load:
-        """What all nodes have at a service's engines."""
+        """Returns the load of all nodes on a service's engines."""
         prompts = 0.0
         streams = 0.0
         for replica in self.directory.known(service.name):
@@ -173,7 +177,11 @@
     async def order(
         self, service: types.Service, change: role_split.Change
     ) -> None:
-        """Gives one order; its number of earlier orders makes it single."""
+        """Gives one order.
+
+        It carries the number of the engine's earlier orders, so that it is
+        carried out at most once.
+        """
         replica = self.directory.replicas.get(change.engine)
         if replica is None:
             return
@@ -187,7 +195,7 @@
                 token = self.leadership.token(time.monotonic())
                 done = state.busy or state.role == change.role
                 if token is None or done or not current:
-                    # Looked at again once its entry or another order tells.
+                    # Tried again unless its entry shows the role by then.
                     self.pending[change.engine] = PendingOrder(
                         change.role, now + RETRY_SECONDS
                     )
@@ -221,7 +229,7 @@
             TimeoutError,
         ) as error:
             if isinstance(error, exceptions.EndpointNotStarted):
-                # It surely has no order; another try may come soon.
+                # The order can't have arrived; retry soon.
                 until = time.monotonic() + RETRY_SECONDS
             self.pending[change.engine] = PendingOrder(
                 change.role, until, False
@@ -234,10 +242,10 @@
             )
 
     def close_engine(self, instance: str, seconds: float) -> None:
-        """Has no node send an engine anything while it changes its role.
+        """Has all nodes send an engine no work while it changes its role.
 
-        The other nodes learn of it by the next datagram and send nothing
-        there that the engine would have to refuse.
+        The other nodes learn of it from the next datagram and then send no
+        requests that the engine would have to refuse.
         """
         self.directory.close_until(instance, time.monotonic() + seconds)
         self.gossip.closed(instance, seconds)
@@ -248,7 +256,7 @@
         role: decision_types.Role,
         switch_time: float,
     ) -> None:
-        """Watches an engine until it has its new role, beside all else."""
+        """Waits in the background until an engine has its new role."""
         task = asyncio.create_task(
             self.wait_for_role(replica, role, switch_time)
         )
@@ -261,7 +269,7 @@
         role: decision_types.Role,
         switch_time: float,
     ) -> None:
-        """Asks an engine until it has its new role, and tells the others."""
+        """Polls an engine until it has its new role, and notifies others."""
         await asyncio.sleep(max(0.0, switch_time - POLL_INTERVAL_SECONDS))
         end = time.monotonic() + ROLE_CHANGE_TIMEOUT_SECONDS
         while time.monotonic() < end:
@@ -283,11 +291,11 @@
             if incarnations.is_later_start(
                 state.started_at, replica.started_at
             ):
-                # It has started again and knows of no order.
+                # It has restarted and lost the order.
                 self.directory.receive_state(replica.instance, state)
                 return
             if state.role != role or state.busy:
-                # It lets running streams end first, for 7 s and more.
+                # Running streams end first, which takes 7 s and more.
                 self.close_engine(replica.instance, CLOSED_SECONDS)
                 continue
             until = time.monotonic() + CONFIRMED_SECONDS
--- a/packages/gypsumfold/src/gypsumfold/gateway/settings.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/settings.py
@@ -7,23 +7,23 @@
 
 Seconds = settings_module.Seconds
 
-# Megabits a second that relaying for a data centre may take; a node whose link
-# has less relays where no other can, so that its power counts little.
+# Megabits a second that relaying for a data centre may take. A node with a
+# smaller link relays only if no other can, so its capacity counts little.
 MIN_RELAY_LINK_MBPS = 50.0
 SMALL_LINK_WEIGHT = 0.002
 
 
 class NodeSection(settings_module.Section):
-    """Who this node is.
+    """The node itself.
 
     Attributes:
         name: Unique among the nodes.
-        data_centre: Where its VM stands.
-        first_start: Whether the whole system starts for the first time, so
-            that no engine has read a prompt yet.
-        core_share: Share of one core that the process may use.
-        core_speed: How many times as fast as a plain one that core is.
-        link_mbps: Megabits a second of the VM's link.
+        data_centre: The data centre of its VM.
+        first_start: Whether the entire system starts for the first time, so
+            that no engine has cached a prompt yet.
+        core_share: Fraction of one core that the process may use.
+        core_speed: Speed of that core relative to a reference core.
+        link_mbps: Bandwidth of the VM's link in megabits a second.
     """
 
     name: str
@@ -35,10 +35,10 @@
 
     @property
     def relay_capacity(self) -> float:
-        """What the VM can do for other nodes, in plain cores.
+        """The VM's capacity to relay for other nodes, in reference cores.
 
-        A relay sends all news of the site to dozens of nodes; a small link is
-        full before a small processor is busy.
+        A relay sends all updates of the site to dozens of nodes, which
+        saturates a small link before it saturates a small processor.
         """
         power = self.core_share * self.core_speed
         if self.link_mbps < MIN_RELAY_LINK_MBPS:
@@ -47,11 +47,11 @@
 
 
 class CallersSection(settings_module.Section):
-    """Where callers and the balancer find the node.
+    """Addresses for callers and the balancer.
 
     Attributes:
         front: IP:PORT for callers.
-        ready: IP:PORT for the balancer's question whether it is ready.
+        ready: IP:PORT for the balancer's readiness checks.
     """
 
     front: str
@@ -63,9 +63,9 @@
 
     Attributes:
         address: IP:PORT.
-        shortest_lease_ms: Shortest life of a group's member.
-        contact_ms: Time in touch with it after which a node must act on all
-            that it says.
+        shortest_lease_ms: Shortest lease of a member of a group.
+        contact_ms: Time of uninterrupted contact after which a node must act
+            on all of the store's data.
     """
 
     address: str
@@ -74,15 +74,16 @@
 
 
 class PeersSection(settings_module.Section):
-    """Node to node.
+    """Messages between nodes.
 
     Attributes:
         address: IP:PORT of this node's datagrams and, by TCP, of its peers'
-            questions.
-        keys: Secrets that all nodes share; the first one seals what is sent,
-            and any of them is taken. Without one nothing is sealed.
-        mesh: Nodes up to which each one tells all others by itself; more of
-            them report to relays.
+            requests.
+        keys: Secrets shared by all nodes. Outgoing messages are sealed with
+            the first one; incoming ones may use any. Without a key nothing is
+            sealed.
+        mesh: Largest number of nodes that all send to each other directly;
+            if there are more, they report to relays.
     """
 
     address: str
@@ -94,19 +95,19 @@
     """The replicas of all services.
 
     Attributes:
-        leaving_ms: Time after which a replica that leaves must get no work.
+        leaving_ms: Time after which a draining replica must get no work.
     """
 
     leaving_ms: float = 2000.0
 
 
 class RetriesSection(settings_module.Section):
-    """The site's budget of repeats.
+    """The site's retry budget.
 
     Attributes:
-        share: As a share of the requests of a window.
-        window_s: Seconds of a window.
-        slack: Repeats in a window beyond the share.
+        share: Retries as a fraction of the requests in a window.
+        window_s: Length of a window in seconds.
+        slack: Retries in a window beyond the fraction.
     """
 
     share: float = 0.1
@@ -115,10 +116,10 @@
 
 
 class OrdersSection(settings_module.Section):
-    """Authority over engines.
+    """Authority to give orders to engines.
 
     Attributes:
-        lease_ms: For how long a holder may give orders unless it renews.
+        lease_ms: How long a holder may give orders without a renewal.
     """
 
     lease_ms: float = 3000.0
@@ -135,14 +136,14 @@
 
 
 class MetricsSection(settings_module.Section):
-    """Where counters and latency histograms are served; 0 for nowhere."""
+    """Where counters and latency histograms are served; port 0: nowhere."""
 
     address: str = ""
     port: int = 0
 
 
 class Settings(settings_module.Section):
-    """All settings of a gateway, passed whole.
+    """All settings of a gateway.
 
     >>> settings = load(pathlib.Path("gateway.toml"))
     >>> settings.node.data_centre
@@ -161,9 +162,10 @@
 
 
 def load(path: pathlib.Path) -> Settings:
-    """Reads and checks a settings file.
+    """Loads and checks a settings file.
 
     Raises:
-        exceptions.SettingsError: With the key, the reason and the line.
+        exceptions.SettingsError: The file is invalid. The error has the key,
+            the reason and the line.
     """
     return settings_module.load(path, Settings)
