--- a/packages/gypsumfold/src/gypsumfold/gateway/settings.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/settings.py
@@ -40,10 +40,10 @@
         A relay sends all updates of the site to dozens of nodes, which
         saturates a small link before it saturates a small processor.
         """
-        power = self.core_share * self.core_speed
+        capacity = self.core_share * self.core_speed
         if self.link_mbps < MIN_RELAY_LINK_MBPS:
-            return power * SMALL_LINK_WEIGHT
-        return power
+            return capacity * SMALL_LINK_WEIGHT
+        return capacity
 
 
 class CallersSection(settings_module.Section):
