--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -94,7 +94,9 @@
         self.store = store_module.Store(settings.store.address)
         self.logged_calls: collections.Counter[str] = collections.Counter()
         self.logged_bytes: collections.Counter[str] = collections.Counter()
-        self.limits = read_timeouts.derive(settings.store.contact_ms / 1000)
+        self.read_timeouts = read_timeouts.derive(
+            settings.store.contact_ms / 1000
+        )
         self.store_state = topic_watches.StoreState(
             settings.store.contact_ms / 1000
         )
@@ -182,7 +184,7 @@
             self.watches["configuration"],
             self.gossip.reads,
             self.questions,
-            self.limits,
+            self.read_timeouts,
         )
         self.gossip.summaries.knowledge = self.store_copy
         self.registrations.on_change = self.gossip.read
@@ -199,16 +201,16 @@
         bound = self.settings.replicas.leaving_ms / 1000
         watches = {
             "configuration": topic_watches.TopicWatch(
-                self.store.reader(self.limits.answer),
+                self.store.reader(self.read_timeouts.answer),
                 self.store_state,
                 names.CONFIGURATION_TOPIC,
                 self.configurations,
                 lambda: 0.0,
-                lambda: self.limits.wait,
+                lambda: self.read_timeouts.wait,
                 bound,
             ),
             "registrations": topic_watches.TopicWatch(
-                self.store.reader(self.limits.answer),
+                self.store.reader(self.read_timeouts.answer),
                 self.store_state,
                 names.REGISTRATIONS_TOPIC,
                 self.registrations,
@@ -217,12 +219,12 @@
                 bound,
             ),
             "nodes": topic_watches.TopicWatch(
-                self.store.reader(self.limits.answer),
+                self.store.reader(self.read_timeouts.answer),
                 self.store_state,
                 names.NODES_TOPIC,
                 self.gossip.entries,
                 lambda: topic_watches.REREAD_SECONDS,
-                lambda: self.limits.wait,
+                lambda: self.read_timeouts.wait,
             ),
         }
         nodes = watches["nodes"]
@@ -262,7 +264,7 @@
                 longest, registrations_module.READER_WAIT_FRACTION * bound
             )
         return read_timeouts.wait_after(
-            self.registrations_pause(), longest, self.limits
+            self.registrations_pause(), longest, self.read_timeouts
         )
 
     def is_ready(self) -> bool:
