--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -56,7 +56,7 @@
         questions: questions_module.Questions,
         limits: read_timeouts_module.ReadTimeouts,
     ):
-        self.limits = limits
+        self.read_timeouts = limits
         self.registrations = registrations
         self.configurations = configurations
         self.registrations_watch = registrations_watch
@@ -107,7 +107,7 @@
             return True
         now = clocks.now()
         age = watch.staleness.age(now)
-        if age > self.limits.max_age:
+        if age > self.read_timeouts.max_age:
             return True
         longest = topic_staleness.MAX_AGE_FRACTION * watch.staleness.bound
         return now - self.registrations_watch.direct_read_at < longest < age
@@ -190,7 +190,8 @@
             self.newer_peer = address
             self.configuration_watch.wake.set()
             self.configuration_watch.cancel_overdue_read(
-                self.configurations.announced_at, self.limits.overdue_after
+                self.configurations.announced_at,
+                self.read_timeouts.overdue_after,
             )
             self.fetch_needed.set()
         elif version == knowledge.version:
@@ -230,7 +231,8 @@
         failed = self.configuration_watch.failures > 0
         if (
             not failed
-            and self.configurations.seconds_behind() < self.limits.ask_after
+            and self.configurations.seconds_behind()
+            < self.read_timeouts.ask_after
         ):
             return
         record = await self.questions.ask(
