--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -54,9 +54,9 @@
         configuration_watch: topic_watches.TopicWatch,
         is_reader: Callable[[], bool],
         questions: questions_module.Questions,
-        limits: read_timeouts_module.ReadTimeouts,
+        read_timeouts: read_timeouts_module.ReadTimeouts,
     ):
-        self.read_timeouts = limits
+        self.read_timeouts = read_timeouts
         self.registrations = registrations
         self.configurations = configurations
         self.registrations_watch = registrations_watch
