--- a/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
@@ -73,10 +73,10 @@
         configurations: configurations_module.Configurations,
         endpoints: types.Endpoints,
         gossip: gossip_module.Gossip,
-        homes: prefix_routing_module.PrefixRouter,
+        prefix_router: prefix_routing_module.PrefixRouter,
     ):
         self.gossip = gossip
-        self.prefix_router = homes
+        self.prefix_router = prefix_router
         self.leadership = leadership
         self.directory = directory
         self.configurations = configurations
