--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -49,14 +49,14 @@
         directory: directory_module.Directory,
         configurations: configurations_module.Configurations,
         endpoints: types.Endpoints,
-        homes: prefix_routing_module.PrefixRouter,
+        prefix_router: prefix_routing_module.PrefixRouter,
         gossip: gossip_module.Gossip,
         questions: questions_module.Questions,
     ):
         self.directory = directory
         self.configurations = configurations
         self.endpoints = endpoints
-        self.prefix_router = homes
+        self.prefix_router = prefix_router
         self.gossip = gossip
         self.questions = questions
         self.asked: set[str] = set()
