--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -65,7 +65,7 @@
         self.questions = questions
         self.newer_peer: tuple[str, int] | None = None
         self.differing_peer: tuple[str, int] | None = None
-        self.next_question = -math.inf
+        self.next_question_at = -math.inf
         self.fetch_needed = asyncio.Event()
         self.was_stale = False
         for watch in (registrations_watch, configuration_watch):
@@ -171,8 +171,8 @@
             watch.confirm_relayed(knowledge.end, now - knowledge.age)
         elif knowledge.end >= watch.position:
             watch.staleness.record_difference(now)
-            if watch.staleness.differs(now) and now >= self.next_question:
-                self.next_question = now + QUESTION_INTERVAL_SECONDS
+            if watch.staleness.differs(now) and now >= self.next_question_at:
+                self.next_question_at = now + QUESTION_INTERVAL_SECONDS
                 self.differing_peer = address
                 self.fetch_needed.set()
         self.receive_configuration(knowledge, address, now)
