--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -1,9 +1,9 @@
-"""HTTP/1.1 connections to replicas that know what was sent on them.
+"""HTTP/1.1 connections to replicas that track what was sent on them.
 
-An HTTP client library hides what a node has to know: whether a byte of a
-request can have reached the replica, whether bytes came while no request was
-waiting, and whether a body ended with a clean close or a reset. So this
-speaks through `h11`, which leaves the socket to its user.
+An HTTP client library hides what a node has to know: whether any byte of a
+request can have reached the replica, whether bytes arrived while no request was
+waiting, and whether a body ended with a clean close or a reset. So this module
+uses `h11`, which leaves the socket to its user.
 """
 
 import asyncio
@@ -17,32 +17,32 @@
 from gypsumfold import exceptions
 from gypsumfold.gateway import types
 
-# Seconds to connect: a VM answers within a few milliseconds, also one that is
-# slowed down ten times; nothing has been sent yet, so another replica can be
-# tried sooner than a lost packet is sent again (one second).
+# A VM accepts within a few milliseconds, even if slowed down ten times. Nothing
+# has been sent yet, so another replica can be tried before a lost packet would
+# be retransmitted (one second).
 CONNECT_TIMEOUT_SECONDS = 0.3
-# Largest head of an answer in bytes.
+# Largest head of an answer.
 MAX_HEAD_BYTES = 65536
-# Milliseconds after which the kernel gives up bytes that nobody confirms.
+# Time after which the kernel closes a connection with unacknowledged bytes.
 UNACKNOWLEDGED_TIMEOUT_MS = 5000
-# Seconds of idleness after which a connection is not used again where the
-# replica states no time itself.
+# Idle time after which a connection is not reused if the replica states no
+# timeout itself.
 IDLE_TIMEOUT_SECONDS = 10.0
-# Seconds before the replica's own limit at which a connection counts as
-# closed: a request that crosses the close may not be repeated.
+# A connection counts as closed this long before the replica's own timeout: a
+# request sent while the replica closes the connection may not be retried.
 IDLE_MARGIN_SECONDS = 0.6
-# Bytes of a streamed body that may wait until the socket is paused.
+# Unread bytes of a body beyond which reading from the socket is paused.
 MAX_UNREAD_BYTES = 256 * 1024
-# SO_LINGER with no time: closing resets the connection and drops what the
-# kernel has not sent yet.
+# SO_LINGER with a timeout of zero: closing resets the connection and drops what
+# the kernel has not sent yet.
 RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class Connection(asyncio.Protocol):
     """One connection, used by one request at a time.
 
-    >>> connection = await pool.take(address)
-    >>> await connection.request(head, body)
+    >>> connection = await pool.acquire(address, instance)
+    >>> connection.request(method, target, fields, body)
     """
 
     def __init__(self):
@@ -61,7 +61,7 @@
         self.unread_bytes = 0
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Notes the transport and sets the socket's options."""
+        """Stores the transport and sets the socket's options."""
         self.transport = transport
         sock = transport.get_extra_info("socket")
         if sock is not None:
@@ -73,7 +73,7 @@
             )
 
     def data_received(self, data: bytes) -> None:
-        """Takes bytes in; while no request waits they belong to none."""
+        """Feeds the parser; aborts if bytes arrive while no request waits."""
         self.last_received = time.monotonic()
         if self.idle:
             self.abort()
@@ -81,21 +81,21 @@
         self.feed(data)
 
     def eof_received(self) -> bool:
-        """Notes a clean close by the replica."""
+        """Handles a clean close by the replica."""
         self.usable = False
         if not self.idle:
             self.feed(b"")
         return False
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Notes that the connection is gone."""
+        """Handles the loss of the connection."""
         self.usable = False
         self.lost = True
         self.error = error
         self.wake_reader()
 
     def feed(self, data: bytes) -> None:
-        """Passes bytes to the parser; a failure shows in `next_event`."""
+        """Passes bytes to the parser; `next_event` raises its failures."""
         self.unread_bytes += len(data)
         if self.unread_bytes > MAX_UNREAD_BYTES:
             self.transport.pause_reading()
@@ -107,15 +107,16 @@
         self.wake_reader()
 
     def wake_reader(self) -> None:
-        """Lets the reader look again."""
+        """Wakes the reader that waits for data."""
         if self.waiter is not None and not self.waiter.done():
             self.waiter.set_result(None)
 
     def abort(self) -> None:
         """Closes the connection at once; it is not used again.
 
-        A request in progress is given up: an orderly close would let the
-        kernel deliver it later, when a link that was cut is back.
+        With a request in progress the connection is reset: an orderly close
+        would let the kernel deliver the request later, once an interrupted
+        link is back.
         """
         self.usable = False
         if self.transport is None:
@@ -131,7 +132,7 @@
     def request(
         self, method: str, target: str, fields: types.Fields, body: bytes
     ) -> None:
-        """Sends a whole request.
+        """Sends a complete request.
 
         Raises:
             exceptions.EndpointNotStarted: Nothing of it was sent.
@@ -154,7 +155,8 @@
         """Waits for the next event of the answer.
 
         Raises:
-            exceptions.AnswerBroken: The connection broke off.
+            exceptions.AnswerBroken: The connection was lost or the answer is
+                not valid.
         """
         while True:
             try:
@@ -176,13 +178,13 @@
             return event
 
     def consumed(self, size: int) -> None:
-        """Reads on once what waited has been taken."""
+        """Resumes reading once enough bytes have been consumed."""
         self.unread_bytes = max(0, self.unread_bytes - size)
         if self.unread_bytes <= MAX_UNREAD_BYTES and not self.lost:
             self.transport.resume_reading()
 
     async def wait_for_data(self) -> None:
-        """Waits for bytes or the end."""
+        """Waits for data or the end of the connection."""
         self.waiter = asyncio.get_running_loop().create_future()
         try:
             await self.waiter
@@ -190,10 +192,10 @@
             self.waiter = None
 
     def reset_for_reuse(self) -> bool:
-        """Makes the connection ready for another request, if it can be.
+        """Prepares the connection for another request, if it can be reused.
 
-        Bytes beyond the answer belong to no request, and one that has them
-        is not used again.
+        A connection with bytes beyond the answer is not reused, as they belong
+        to no request.
         """
         done = self.parser.their_state is h11.DONE
         if not done or self.parser.our_state is not h11.DONE or self.lost:
@@ -209,17 +211,17 @@
         return True
 
     def is_reusable(self, now: float) -> bool:
-        """Whether it may be used for another request."""
+        """Whether the connection may be used for another request."""
         if not self.usable or self.lost or self.transport.is_closing():
             return False
         return now - self.idle_since < self.idle_timeout
 
 
 class Pool:
-    """Idle connections by address and instance.
+    """A pool of idle connections by address and instance.
 
     >>> pool = Pool()
-    >>> connection = await pool.take("10.1.64.9:8080", "i-7f3a91c2")
+    >>> connection = await pool.acquire("10.1.64.9:8080", "i-7f3a91c2")
     """
 
     def __init__(self):
@@ -227,10 +229,10 @@
         self.opened = 0
 
     async def acquire(self, address: str, instance: str) -> Connection:
-        """Finds an idle connection or opens one.
+        """Returns an idle connection or opens one.
 
         Raises:
-            exceptions.EndpointUnreachable: It cannot be reached.
+            exceptions.EndpointUnreachable: The address cannot be reached.
         """
         kept = self.idle.get((address, instance), [])
         now = time.monotonic()
@@ -242,7 +244,7 @@
         return await self.open(address)
 
     def is_connected(self, replica: types.Replica) -> bool:
-        """Whether a request to a replica would find a connection open."""
+        """Whether an idle connection to a replica is open."""
         kept = self.idle.get((replica.address, replica.instance))
         return bool(kept) and kept[-1].is_reusable(time.monotonic())
 
@@ -250,7 +252,7 @@
         """Opens a connection.
 
         Raises:
-            exceptions.EndpointUnreachable: It cannot be reached.
+            exceptions.EndpointUnreachable: The address cannot be reached.
         """
         host, _, port = address.rpartition(":")
         loop = asyncio.get_running_loop()
@@ -273,13 +275,13 @@
     def release(
         self, address: str, instance: str, connection: Connection
     ) -> None:
-        """Takes a connection back after its answer."""
+        """Returns a connection to the pool after its answer, if reusable."""
         if connection.reset_for_reuse():
             key = (address, instance)
             self.idle.setdefault(key, []).append(connection)
 
     def discard(self, address: str, instance: str) -> None:
-        """Closes the idle connections to a replica that is gone."""
+        """Closes the idle connections to a replica."""
         for connection in self.idle.pop((address, instance), ()):
             connection.abort()
 
@@ -290,7 +292,7 @@
 
 
 class PooledAnswer:
-    """An answer on a pooled connection, whose head has come."""
+    """An answer on a pooled connection whose head has been received."""
 
     def __init__(
         self,
@@ -311,10 +313,10 @@
         self.ended = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """The body as it comes.
+        """Yields the body as it is received.
 
         Raises:
-            exceptions.AnswerBroken: It broke off.
+            exceptions.AnswerBroken: It ended early.
         """
         while True:
             event = await self.connection.next_event()
@@ -328,13 +330,15 @@
                 )
                 return
             self.connection.abort()
-            raise exceptions.AnswerBroken("the replica closed early")
+            raise exceptions.AnswerBroken(
+                "the replica closed the connection before the end"
+            )
 
     async def read(self) -> bytes:
-        """The whole body.
+        """Reads the entire body.
 
         Raises:
-            exceptions.AnswerBroken: It broke off.
+            exceptions.AnswerBroken: It ended early.
         """
         parts = []
         async for chunk in self.chunks():
@@ -342,7 +346,7 @@
         return b"".join(parts)
 
     def close(self) -> None:
-        """Ends the exchange; the replica drops what still runs."""
+        """Ends the exchange; the replica cancels what still runs."""
         if not self.ended:
             self.connection.abort()
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -1,7 +1,7 @@
-"""Keeps in the store which requests crash replicas.
+"""Stores which requests crash replicas.
 
-Nodes exchange this among themselves; the store is for the moment after all of
-them lost power.
+Nodes exchange this with each other; the store keeps it for the case that all of
+them lose power.
 """
 
 import asyncio
@@ -22,16 +22,17 @@
 from gypsumfold.platform import names
 from gypsumfold.platform import store as store_module
 
-# Seconds between two looks whether this node is to read the records.
+# Seconds between two checks whether this node reads the store.
 POLL_INTERVAL = 0.2
 
 
 class CrashRecord(msgspec.Struct, array_like=True):
-    """One crash of a replica, as a request's record has it.
+    """One crash of a replica, as stored in the record of a request.
 
     Attributes:
-        instance: The replica.
-        started: Unix milliseconds of its start; 0 if it does not say.
+        instance: Instance id of the replica.
+        started: Start time of the replica in Unix milliseconds; 0 if not
+            reported.
         output: Whether the request had given output.
     """
 
@@ -41,11 +42,11 @@
 
 
 class RequestRecord(msgspec.Struct):
-    """A request that was in several crashes.
+    """A request suspected of several crashes.
 
     Attributes:
-        written_at: Unix seconds.
-        crashes: Those that it is suspected of.
+        written_at: Time of writing in Unix seconds.
+        crashes: Crashes that it is suspected of.
     """
 
     written_at: float
@@ -53,7 +54,7 @@
 
 
 class CrashRecords:
-    """Writes requests that crash replicas to the store, and reads them once.
+    """Writes the records of requests to the store, and reads them once.
 
     >>> records = CrashRecords(store, quarantine, lambda: True)
     >>> await records.read()
@@ -74,12 +75,12 @@
         quarantine.store_crashes = self.schedule_write
 
     def schedule_write(self, fingerprint: int) -> None:
-        """Has the record of a request written, or dropped if it was cleared."""
+        """Schedules a write of a request's record; cleared ones are removed."""
         self.pending[fingerprint] = True
         self.pending_added.set()
 
     async def run(self) -> None:
-        """Writes for as long as the node runs."""
+        """Writes scheduled records while the node runs."""
         while True:
             await self.pending_added.wait()
             self.pending_added.clear()
@@ -90,7 +91,7 @@
                 )
 
     async def read(self) -> None:
-        """Reads all records, on a node that reads the store for others."""
+        """Reads all records once this node reads the store for other nodes."""
         while True:
             if self.reads_store():
                 await self.call_until_success(self.read_all)
@@ -98,7 +99,7 @@
             await asyncio.sleep(POLL_INTERVAL)
 
     async def call_until_success(self, call: Callable[[], Awaitable]) -> None:
-        """Makes a call until it succeeds."""
+        """Retries a call until it succeeds."""
         failures = 0
         while True:
             try:
@@ -121,7 +122,7 @@
                 self.apply(record)
 
     def apply(self, record: store_module.Record) -> None:
-        """Takes one record in; a very old one says nothing any more."""
+        """Applies one record, or schedules its removal if it has expired."""
         try:
             fingerprint = int(record.key, 16)
             found = msgspec.json.decode(record.value, type=RequestRecord)
@@ -145,7 +146,7 @@
         self.quarantine.merge_suspicions(suspicions, True)
 
     async def write(self, fingerprint: int) -> None:
-        """Writes the crashes of a request, or drops its record."""
+        """Writes the crashes of a request, or removes its record if none."""
         log = self.quarantine.crash_log
         crashes = []
         for replica in sorted(log.suspected.get(fingerprint, ())):
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -1,4 +1,4 @@
-"""Serves calls to plain services: one replica, and another if that fails."""
+"""Serves calls to plain services, with retries on other replicas."""
 
 import asyncio
 import time
@@ -13,17 +13,17 @@
 from gypsumfold.gateway import runs as runs_module
 from gypsumfold.gateway import types
 
-# Times a route's objective after which a repeatable call is sent elsewhere:
-# nearly all answers that come at all have come by then.
+# Multiple of a route's objective after which a repeatable call is retried
+# elsewhere: nearly all answers that come at all have come by then.
 ATTEMPT_TIMEOUT_FACTOR = 2.0
-# Attempts, the refused ones included; each costs the site's budget.
+# Attempts, refused ones included; each retry counts against the site's budget.
 MAX_ATTEMPTS = 4
 
 
 class PlainCalls:
-    """Sends a call to the least busy replica; repeats what may be repeated.
+    """Sends a call to the least busy replica and retries it if allowed.
 
-    >>> await plain_calls.serve(call, route, service, reply, progress)
+    >>> await plain_calls.serve(route, service, reply, progress)
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         """Answers a call.
 
         Raises:
-            exceptions.RequestError: It ends without a replica's answer.
+            exceptions.RequestError: No replica answered.
         """
         answered = None
         for attempt in range(MAX_ATTEMPTS):
@@ -89,7 +89,7 @@
     def choose(
         self, service: str, progress: progress_module.Progress
     ) -> types.Replica | None:
-        """Picks a replica that has not failed this call."""
+        """Chooses a replica that has not failed this call."""
         ready = self.directory.ready(
             service, time.monotonic(), avoid=progress.avoid
         )
@@ -98,7 +98,7 @@
     def can_retry(
         self, route: routes.Route, progress: progress_module.Progress
     ) -> bool:
-        """Whether a call that may have run may run once more."""
+        """Whether a call that may have run may run again."""
         return route.repeatable and progress.runs < route.attempts
 
     async def attempt(
@@ -107,14 +107,14 @@
         route: routes.Route,
         progress: progress_module.Progress,
     ) -> tuple[int, str, types.Fields, bytes]:
-        """Sends a call to one replica and reads its whole answer.
+        """Sends a call to one replica and reads its complete answer.
 
         Raises:
             exceptions.EndpointNotStarted: The replica ran nothing of it.
             exceptions.AnswerBroken: It may have run.
         """
-        # The last attempt has all the time that is left; whoever set the
-        # deadline ends it.
+        # The last attempt may use all the time left; the handler enforces
+        # the deadline.
         limit = None
         if route.repeatable and progress.runs + 1 < route.attempts:
             limit = ATTEMPT_TIMEOUT_FACTOR * route.objective
@@ -152,20 +152,22 @@
         reason: str,
         error: Exception,
     ) -> None:
-        """Notes a replica's failure."""
+        """Records a replica's failure."""
         progress.record_failure(replica, reason)
         self.directory.request_failed(replica.instance, error, time.monotonic())
 
     async def exchange(
         self, replica: types.Replica, progress: progress_module.Progress
     ) -> tuple[int, str, types.Fields, bytes]:
-        """One exchange with a replica, read to its end."""
+        """Sends a call to a replica and reads the answer to its end."""
         instructions = types.Instructions(progress.time_left())
         answer = await self.endpoints.send(replica, progress.call, instructions)
         try:
             if answer.not_run:
                 await answer.read()
-                raise exceptions.EndpointRefused("the replica has no room")
+                raise exceptions.EndpointRefused(
+                    "the replica has no free capacity"
+                )
             body = await answer.read()
         finally:
             answer.close()
@@ -181,15 +183,15 @@
 
 
 def check_answer(answer: types.Answer) -> None:
-    """Refuses answers that a caller must not get as they are.
+    """Checks that an answer may be forwarded to the caller.
 
     Raises:
-        exceptions.AnswerBroken: A success that the replica does not vouch
-            for, or a refusal that does not say that nothing has run.
+        exceptions.AnswerBroken: It is a success without the replica's seal,
+            or a refusal that does not state that nothing has run.
     """
     if answer.status < 300 and not answer.sealed:
         raise exceptions.AnswerBroken("a success without the replica's seal")
     if answer.status in (408, 421, 429, 503):
         raise exceptions.AnswerBroken(
-            f"{answer.status} without saying that nothing has run"
+            f"{answer.status} without the statement that nothing has run"
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -1,8 +1,8 @@
-"""Keeps requests that crash replicas from the replicas.
+"""Keeps requests that crash replicas away from the replicas.
 
-`decisions/crashes.py` says which requests these are, `decisions/canaries.py`
-where suspects may run. What this node sees goes to the other nodes, and what
-all must remember after a loss of power goes to the store.
+`decisions/crashes.py` decides which requests these are, `decisions/canaries.py`
+where suspected requests may run. What this node observes is sent to the other
+nodes; what has to survive a power failure of all nodes is written to the store.
 """
 
 import asyncio
@@ -23,21 +23,24 @@
 from gypsumfold.gateway.peers import crash_news
 from gypsumfold.gateway.peers import messages
 
-# Seconds between two looks whether a suspect may run, about: longer than a
-# message takes to the other nodes, so that two suspects seldom start together.
+# Mean time between two checks whether a suspected request may run: longer than
+# a message takes to reach the other nodes, so that two suspected requests
+# seldom start together.
 POLL_INTERVAL = 0.04
-# Share of the time for which its caller still waits that a suspect is held.
+# Fraction of the time its caller still waits for which a suspected request is
+# held.
 MAX_HOLD_FRACTION = 0.5
 
 
 class Quarantine:
-    """Decides whether and where a request may run, by the crashes it was in.
+    """Decides whether and where a request may run, from its previous crashes.
 
     Attributes:
-        notify_peers: Called where other nodes are to be sent something at once.
-        is_relay: Whether this node passes on what others send.
-        propagation_time: Seconds until all nodes have what was sent at once.
-        store_crashes: Called with a request whose crashes the store is to keep.
+        notify_peers: Called if updates for other nodes are to be sent at once.
+        is_relay: Whether this node forwards updates of other nodes.
+        propagation_time: Seconds until an update has reached all nodes.
+        store_crashes: Called with the fingerprint of a request whose crashes
+            are to be written to the store.
 
     >>> quarantine = Quarantine(runs)
     >>> quarantine.admit(progress)
@@ -59,9 +62,10 @@
         """Refuses a request in quarantine.
 
         Raises:
-            exceptions.RequestError: It is in quarantine, and nothing has gone
+            exceptions.RequestError: It is in quarantine, and nothing was sent
                 to its caller.
-            exceptions.AnswerAbandoned: It is, and its answer has begun.
+            exceptions.AnswerAbandoned: It is in quarantine, and its answer
+                has started.
         """
         now = time.monotonic()
         verdict = self.crash_log.decide(progress.fingerprint, now)
@@ -91,16 +95,17 @@
         route: routes.Route,
         choose: Callable[[], types.Replica | None],
     ) -> types.Replica | None:
-        """Waits until a request may run at the replica that is chosen then.
+        """Waits until a request may run on the replica that is chosen then.
 
         Args:
-            progress: Of the request.
+            progress: Progress of the request.
             route: Its route.
-            choose: Chooses a replica; None where there is none.
+            choose: Chooses a replica; returns None if there is none.
 
         Raises:
             exceptions.RequestError: It may not run soon enough.
-            exceptions.AnswerAbandoned: The same, and its answer has begun.
+            exceptions.AnswerAbandoned: It may not run soon enough, and its
+                answer has started.
         """
         fingerprint = progress.fingerprint
         replica = choose()
@@ -126,7 +131,7 @@
                 self.log_held(progress, held, False)
                 if progress.answer_started:
                     raise exceptions.AnswerAbandoned(
-                        "no replica is free for it"
+                        "no replica is free for the request"
                     )
                 raise progress.final_error()
         return None
@@ -134,7 +139,7 @@
     def log_held(
         self, progress: progress_module.Progress, held: float, placed: bool
     ) -> None:
-        """Logs how long a suspect was held, and what became of it."""
+        """Logs how long a suspected request was held, and whether it runs."""
         events.log(
             events.SUSPECT_HELD,
             request=progress.call.id,
@@ -145,7 +150,7 @@
         )
 
     def is_unsuspected(self, fingerprint: int) -> bool:
-        """Whether nothing speaks against sending a request anywhere."""
+        """Whether a request may be sent to any replica."""
         now = time.monotonic()
         if self.is_blocked(fingerprint, now):
             return False
@@ -153,7 +158,7 @@
         return verdict == crashes_module.Decision.FREE
 
     def is_blocked(self, fingerprint: int, now: float) -> bool:
-        """Whether a copy of a request runs as a canary, or may have crashed."""
+        """Whether a copy of a request runs as a canary or may have crashed."""
         if self.runs.is_undecided(fingerprint, canaries_module.HOLD_SECONDS):
             return True
         return self.canaries.is_running(fingerprint, now)
@@ -161,10 +166,10 @@
     async def reserve(
         self, progress: progress_module.Progress, replica: types.Replica
     ) -> bool:
-        """Whether a request may run at a replica, and no copy elsewhere.
+        """Reserves a replica for a request; False if it may not run there now.
 
-        After two crashes a copy at another node would be one too many: the
-        other nodes are notified first; where two of them notify each other,
+        After two crashes no copy may run on another node at the same time, so
+        the other nodes are notified first. If two nodes notify each other,
         both wait and try again.
 
         Raises:
@@ -192,7 +197,7 @@
         return alone
 
     def can_run(self, fingerprint: int, replica: types.Replica) -> bool:
-        """Whether a request may run at a replica now."""
+        """Whether a request may run on a replica now."""
         now = time.monotonic()
         if self.is_blocked(fingerprint, now):
             return False
@@ -202,7 +207,7 @@
         return self.canaries.is_free(fingerprint, replica.instance, now)
 
     def record_start(self, run: runs_module.Run) -> None:
-        """Notes that a request starts to run."""
+        """Records that a request starts to run."""
         verdict = self.crash_log.decide(run.fingerprint, time.monotonic())
         if verdict != crashes_module.Decision.CANARY:
             self.canaries.end(run.fingerprint, time.monotonic())
@@ -212,10 +217,10 @@
         self.notify_peers()
 
     def record_output(self, run: runs_module.Run) -> None:
-        """Notes that a run's output goes to its caller.
+        """Records that output of a run was sent to its caller.
 
-        A canary suspected of one crash, which had given none before, has come
-        further than then.
+        A canary suspected of a single crash gave no output before that crash;
+        with output it has passed that point and is a canary no more.
         """
         if run.has_output:
             return
@@ -224,7 +229,7 @@
             self.end_canary(run)
 
     def record_completion(self, run: runs_module.Run) -> None:
-        """Notes that a run came to its end."""
+        """Records that a run has completed."""
         if self.crash_log.count(run.fingerprint) > 1:
             self.store_crashes(run.fingerprint)
         if self.crash_log.completed(run.fingerprint):
@@ -235,7 +240,7 @@
             )
 
     def end_canary(self, run: runs_module.Run) -> None:
-        """Notes that a run is over, however it ended."""
+        """Records that a run has ended, completed or not."""
         if not run.is_canary:
             return
         run.is_canary = False
@@ -243,7 +248,7 @@
             self.notify_peers()
 
     def record_interruption(self, run: runs_module.Run) -> None:
-        """Notes that a run's answer broke off; a crash may be the cause."""
+        """Records that a run was interrupted; a crash may be the cause."""
         if not self.runs.add(run):
             return
         run.is_canary = False
@@ -253,13 +258,13 @@
         self.notify_peers()
 
     def record_survival(self, interrupted: list[runs_module.Run]) -> None:
-        """Takes in that a replica lives: its connections were reset."""
+        """Records that a replica did not crash: its connections were reset."""
         for run in interrupted:
             self.canaries.end(run.fingerprint, time.monotonic())
         self.notify_peers()
 
     def record_crash(self, crash: runs_module.Crash) -> None:
-        """Takes in a crash that interrupted runs of this node."""
+        """Records a crash that interrupted runs of this node."""
         replica = crashes_module.Incarnation(
             crash.replica.instance, crash.replica.started_at
         )
@@ -281,7 +286,7 @@
         quarantined: bool,
         replica: crashes_module.Incarnation,
     ) -> None:
-        """Logs a quarantine that begins."""
+        """Logs that a quarantine starts, if it does."""
         if not quarantined:
             return
         crashes = []
@@ -295,12 +300,12 @@
         )
 
     def updates(self, most: int) -> crash_news.News:
-        """What other nodes are sent next, canaries first.
+        """Updates to send to other nodes next, canaries first.
 
-        A reservation has to be known everywhere before its request runs.
+        All nodes have to know a reservation before its request runs.
 
         Args:
-            most: Entries at most.
+            most: Maximum number of entries.
         """
         now = time.monotonic()
         running = []
@@ -326,14 +331,14 @@
     def merge_suspicions(
         self, suspicions: list[crashes_module.Interrupted], forward: bool
     ) -> bool:
-        """Takes in suspicions of another node, or from the store.
+        """Merges suspicions of another node or from the store.
 
         Args:
-            suspicions: Which request was in which crash.
-            forward: Whether what is new is sent to other nodes.
+            suspicions: Which crash interrupted which request.
+            forward: Whether new suspicions are sent to other nodes.
 
         Returns:
-            Whether a request was put into quarantine by them.
+            Whether they put a request into quarantine.
         """
         now = time.monotonic()
         news = False
@@ -346,7 +351,7 @@
         return news
 
     def merge_message(self, message: messages.Crashes) -> None:
-        """Takes in what another node has sent."""
+        """Merges the updates sent by another node."""
         suspicions = []
         for one in message.interrupted:
             replica = crashes_module.Incarnation(one.instance, one.started)
--- a/packages/gypsumfold/src/gypsumfold/gateway/server.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/server.py
@@ -1,4 +1,4 @@
-"""HTTP for callers: reads requests whole and sends answers as they come."""
+"""HTTP server for callers: reads complete requests and streams answers."""
 
 import asyncio
 import contextlib
@@ -18,13 +18,13 @@
 from gypsumfold.gateway import types
 from gypsumfold.platform import ingress
 
-# Largest line and header field that the HTTP library takes, in bytes; the
-# operators' limit for a whole head is below this.
+# Largest request line and header field that the HTTP library accepts, in bytes;
+# the operators' limit for an entire head is below this.
 MAX_HEADER_BYTES = 65536
-# Seconds that an idle connection of a caller is kept: above what callers may
-# be idle, so that a request never crosses the close.
+# Longer than callers may keep a connection idle, so that a request never
+# arrives while the server closes the connection.
 KEEP_ALIVE_SECONDS = 90.0
-# Seconds that the last bytes of answers may take when the process ends.
+# Time to send the last bytes of answers when the process ends.
 WRITE_TIMEOUT_SECONDS = 0.5
 
 
@@ -33,7 +33,7 @@
 
     Attributes:
         busy: Connections with a request in progress.
-        stopping: Whether each answer closes its connection.
+        stopping: Whether the connection is closed after each answer.
 
     >>> server = Server(handler, configurations)
     >>> await server.start("10.1.0.38:8149")
@@ -77,12 +77,12 @@
         except exceptions.AnswerBroken:
             reply.abort()
         except ConnectionError:
-            # The caller has gone; its own task is cancelled next.
+            # The caller has disconnected; this task is cancelled next.
             reply.abort()
         except asyncio.CancelledError:
             raise
         except Exception as error:
-            # One request must not take others down with it.
+            # A failure of one request must not affect others.
             events.log(events.TASK_FAILED, task="request", error=repr(error))
             if reply.response is not None:
                 reply.abort()
@@ -99,10 +99,10 @@
     async def read(
         self, request: web.BaseRequest, arrival: float
     ) -> types.Call:
-        """Reads a request whole.
+        """Reads a complete request.
 
         Raises:
-            exceptions.RequestInvalid: It cannot be taken.
+            exceptions.RequestInvalid: It is not valid.
         """
         body = None
         if request.body_exists or "Content-Length" in request.headers:
@@ -119,7 +119,7 @@
         """Reads a request's body.
 
         Raises:
-            exceptions.BodyTooLarge: It is larger than operators allow.
+            exceptions.BodyTooLarge: It exceeds the operators' limit.
         """
         if request.headers.get("Expect", "").lower() == "100-continue":
             request.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -156,14 +156,14 @@
         return reply.response
 
     async def stop_listening(self) -> None:
-        """Takes no more connections and closes the idle ones.
+        """Accepts no more connections and closes the idle ones.
 
-        The HTTP library drops what comes on an idle connection from then on
-        but does not close it; others it closes after their answer.
+        From then on the HTTP library drops data on an idle connection without
+        closing it; it closes the others after their answer.
         """
         for site in list(self.runner.sites):
             await site.stop()
-        # What has come in by now is taken as a request first.
+        # Data received by now is handled as a request first.
         await asyncio.sleep(0)
         await asyncio.sleep(0)
         server = self.runner.server
@@ -173,7 +173,7 @@
                 connection.force_close()
 
     async def wait_until_idle(self, timeout: float) -> None:
-        """Waits until no request is in progress, for a limit in seconds."""
+        """Waits until no request is in progress, or the timeout in seconds."""
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(timeout):
                 while self.busy:
@@ -183,7 +183,7 @@
             events.log(events.NODE_GAVE_UP, requests=len(self.busy))
 
     async def close(self) -> None:
-        """Ends what is left."""
+        """Ends requests in progress and closes all connections."""
         if self.runner is not None:
             await self.runner.cleanup()
 
@@ -199,7 +199,7 @@
     async def send(
         self, status: int, reason: str, fields: types.Fields, body: bytes
     ) -> None:
-        """Sends a whole answer."""
+        """Sends a complete answer."""
         await self.start(status, reason, fields, len(body))
         if body:
             await self.response.write(body)
@@ -225,7 +225,7 @@
         await response.prepare(self.request)
 
     async def write(self, data: bytes) -> None:
-        """Sends a piece of the body."""
+        """Sends a chunk of the body."""
         await self.response.write(data)
 
     async def end(self) -> None:
@@ -233,7 +233,7 @@
         await self.response.write_eof()
 
     def abort(self) -> None:
-        """Cuts the connection, so that the answer looks broken."""
+        """Aborts the connection; the caller sees an incomplete answer."""
         transport = self.request.transport
         if transport is not None:
             transport.abort()
