--- a/packages/gypsumfold/src/gypsumfold/decisions/__init__.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""Whom to serve, wait or refuse and where to send; no network, no clock."""
+"""Decides whether and where requests are sent; uses no network or clock."""
