--- a/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/crash_records.py
@@ -31,9 +31,9 @@
 
     Attributes:
         instance: Instance id of the replica.
-        started: Start time of the replica in Unix milliseconds; 0 if not
+        started_at: Start time of the replica in Unix milliseconds; 0 if not
             reported.
-        output: Whether the request had given output.
+        has_output: Whether the request had given output.
     """
 
     instance: str
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -124,7 +124,7 @@
                 if not self.take_retry(service):
                     progress.log_retry_refused(service.name)
                     break
-                progress.log_retry("the attempt before failed")
+                progress.log_retry("the previous attempt failed")
             try:
                 await self.attempt(route, service, stream, progress)
                 return
--- a/packages/gypsumfold/src/gypsumfold/gateway/handling.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/handling.py
@@ -137,7 +137,7 @@
                 await self.plain_calls.serve(route, service, reply, progress)
         except TimeoutError as error:
             if progress.answer_started:
-                raise exceptions.AnswerBroken("the deadline") from error
+                raise exceptions.AnswerBroken("the deadline passed") from error
             if progress.may_have_run:
                 raise exceptions.AnswerUndetermined(
                     "no answer came before the deadline",
--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -68,7 +68,7 @@
             if replica is None:
                 break
             if attempt:
-                progress.log_retry("the attempt before failed")
+                progress.log_retry("the previous attempt failed")
             try:
                 found = await self.attempt(replica, route, progress)
             except exceptions.EndpointNotStarted:
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -20,10 +20,10 @@
     Attributes:
         fingerprint: Identifies the request over all attempts of its caller.
         may_have_run: Whether a replica may have started to run it.
-        begun: Whether any of the answer was sent to the caller.
+        answer_started: Whether any of the answer was sent to the caller.
         runs: Number of replicas that may have run it.
         avoid: Instances that failed to serve it.
-        read_at: Address of the engine that ran the prefill; empty
+        prefill_address: Address of the engine that ran the prefill; empty
             before that.
         handle: KV cache of the prompt that is not fetched yet.
     """
--- a/packages/gypsumfold/src/gypsumfold/gateway/runs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/runs.py
@@ -25,10 +25,12 @@
     Attributes:
         fingerprint: Fingerprint of the request.
         replica: Replica that runs it.
-        reading: Whether only its prefill runs there.
-        output: Whether output of this run was sent to the caller.
-        canary: Whether it runs as the only suspect on its replica.
-        broken_at: When its answer was interrupted; None before that.
+        is_prefill: Whether only its prefill runs there.
+        has_output: Whether output of this run was sent to the caller.
+        is_canary: Whether it runs as the only suspected request on its
+            replica.
+        interrupted_at: Time when its answer was interrupted; None before
+            that.
     """
 
     def __init__(
@@ -54,8 +56,8 @@
     """Interrupted runs, until it is known whether their replica crashed.
 
     Attributes:
-        listeners: Called with each crash.
-        survived: Called with the interrupted runs of a replica that
+        crash_listeners: Called with each crash.
+        survival_listeners: Called with the interrupted runs of a replica that
             did not crash.
 
     >>> runs = InterruptedRuns(directory)
@@ -90,7 +92,7 @@
         return True
 
     def is_undecided(self, fingerprint: int, max_age: float) -> bool:
-        """Whether a crash may have interrupted a request that is not decided.
+        """Whether it is still unknown if a crash interrupted a request.
 
         Args:
             fingerprint: Fingerprint of the request.
--- a/packages/gypsumfold/src/gypsumfold/gateway/types.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/types.py
@@ -56,7 +56,7 @@
         draining: Whether it is shutting down.
         role: Role of an engine; None for plain services.
         orders: Number of orders accepted, as last reported.
-        born: Start time in Unix milliseconds; 0 if not reported. A later
+        started_at: Start time in Unix milliseconds; 0 if not reported. A later
             one for the same instance means a restart, with all state lost.
     """
 
@@ -134,7 +134,7 @@
         engine: Instance id of the engine that keeps it.
         address: IP:PORT of that engine.
         id: Id of the cache at that engine.
-        born: Start time of that engine in Unix milliseconds; 0 if not
+        started_at: Start time of that engine in Unix milliseconds; 0 if not
             reported.
     """
 
