--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -237,10 +237,10 @@
         task = asyncio.ensure_future(prefill)
         try:
             while True:
-                heard = self.directory.health.last_success.get(
+                last_success = self.directory.health.last_success.get(
                     choice.engine, started
                 )
-                until = max(started, heard) + timeout
+                until = max(started, last_success) + timeout
                 left = until - time.monotonic()
                 if left <= 0 or choice.engine in self.directory.suspects:
                     raise TimeoutError
