--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -132,8 +132,8 @@
             service.name, choice.load, time.monotonic()
         )
         if rank.hopeless and not progress.may_have_run:
-            behind = choice.late_ahead if rank.deferred else 0.0
-            raise deadline_refusal(choice, progress, behind)
+            deferred_ahead = choice.late_ahead if rank.deferred else 0.0
+            raise deadline_refusal(choice, progress, deferred_ahead)
         events.log(
             events.PROMPT_PLACED,
             request=call.id,
