--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -311,7 +311,7 @@
 def deadline_refusal(
     choice: prefix_routing_module.Choice,
     progress: progress_module.Progress,
-    behind: float,
+    deferred_ahead: float,
 ) -> exceptions.Unavailable:
     """Makes the refusal of a request that cannot start before its deadline.
 
@@ -328,11 +328,11 @@
         request=progress.call.id,
         instance=choice.engine,
         expected=round(choice.total_seconds, 3),
-        behind=round(behind, 3),
+        behind=round(deferred_ahead, 3),
         left=round(left, 3),
     )
     return exceptions.Unavailable(
         "the engines have too much to read",
         outcomes.Outcome.NOT_RUN,
-        min(choice.total_seconds + behind, max(0.0, left / 3)),
+        min(choice.total_seconds + deferred_ahead, max(0.0, left / 3)),
     )
