--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -59,13 +59,13 @@
             load: Seconds by which it delays others.
         """
         age = time.monotonic() - self.call.arrival
-        waits = route.remaining_wait(self.time_left(), age)
+        remaining_wait = route.remaining_wait(self.time_left(), age)
         return lateness.rank(
             route.urgency,
             age,
             expected,
             route.objective,
-            waits,
+            remaining_wait,
             deferred_ahead,
             load,
         )
