--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -203,14 +203,14 @@
                 service.name, now
             )
             age = now - progress.call.arrival
-            verdict = outages.decide(
+            decision = outages.decide(
                 since,
                 service.switch_time,
                 route.remaining_wait(progress.time_left(), age),
                 progress.time_left(),
                 now,
             )
-            if not verdict.hold:
+            if not decision.hold:
                 if progress.may_have_run:
                     raise exceptions.AnswerBroken(
                         "no decode engine is available"
@@ -218,7 +218,7 @@
                 raise exceptions.Unavailable(
                     "no decode engine is available",
                     outcomes.Outcome.NOT_RUN,
-                    verdict.retry_after,
+                    decision.retry_after,
                 )
             if not held:
                 held = True
