--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -238,14 +238,14 @@
     ) -> types.Replica | None:
         """Chooses the decode engine."""
         now = time.monotonic()
-        near = ""
+        data_centre = ""
         if handle is not None and handle.engine in self.directory.replicas:
-            near = self.directory.replicas[handle.engine].data_centre
+            data_centre = self.directory.replicas[handle.engine].data_centre
         found = self.directory.engines(service.name, False, now, progress.avoid)
         # A failed stream does not exclude the only engine.
         found = found or self.directory.engines(service.name, False, now)
         return self.directory.least_loaded(
-            found, near, self.endpoints.is_connected
+            found, data_centre, self.endpoints.is_connected
         )
 
     async def run(
