--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -133,8 +133,8 @@
             except exceptions.AnswerAbandoned:
                 raise
             except exceptions.AnswerBroken:
-                may_repeat = route.resumable or route.repeatable
-                if not may_repeat or progress.runs >= route.attempts:
+                can_retry = route.resumable or route.repeatable
+                if not can_retry or progress.runs >= route.attempts:
                     break
         if progress.answer_started:
             raise exceptions.AnswerBroken("no engine could resume the answer")
