--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -68,8 +68,8 @@
                 has started.
         """
         now = time.monotonic()
-        verdict = self.crash_log.decide(progress.fingerprint, now)
-        if verdict != crashes_module.Decision.QUARANTINED:
+        decision = self.crash_log.decide(progress.fingerprint, now)
+        if decision != crashes_module.Decision.QUARANTINED:
             return
         until = self.crash_log.quarantined[progress.fingerprint]
         events.log(
