--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -154,8 +154,8 @@
         now = time.monotonic()
         if self.is_blocked(fingerprint, now):
             return False
-        verdict = self.crash_log.decide(fingerprint, now)
-        return verdict == crashes_module.Decision.FREE
+        decision = self.crash_log.decide(fingerprint, now)
+        return decision == crashes_module.Decision.FREE
 
     def is_blocked(self, fingerprint: int, now: float) -> bool:
         """Whether a copy of a request runs as a canary or may have crashed."""
