--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -201,8 +201,8 @@
         now = time.monotonic()
         if self.is_blocked(fingerprint, now):
             return False
-        verdict = self.crash_log.decide(fingerprint, now)
-        if verdict == crashes_module.Decision.FREE:
+        decision = self.crash_log.decide(fingerprint, now)
+        if decision == crashes_module.Decision.FREE:
             return True
         return self.canaries.is_free(fingerprint, replica.instance, now)
 
