--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -208,8 +208,8 @@
 
     def record_start(self, run: runs_module.Run) -> None:
         """Records that a request starts to run."""
-        verdict = self.crash_log.decide(run.fingerprint, time.monotonic())
-        if verdict != crashes_module.Decision.CANARY:
+        decision = self.crash_log.decide(run.fingerprint, time.monotonic())
+        if decision != crashes_module.Decision.CANARY:
             self.canaries.end(run.fingerprint, time.monotonic())
             return
         run.is_canary = True
