--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -341,14 +341,14 @@
             Whether they put a request into quarantine.
         """
         now = time.monotonic()
-        news = False
+        quarantined_any = False
         for suspicion in suspicions:
             quarantined = self.crash_log.merge(suspicion, forward, now)
             self.log_quarantine(
                 suspicion.fingerprint, quarantined, suspicion.replica
             )
-            news |= quarantined
-        return news
+            quarantined_any |= quarantined
+        return quarantined_any
 
     def merge_message(self, message: messages.Crashes) -> None:
         """Merges the updates sent by another node."""
