--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -360,7 +360,7 @@
                     replica, one.fingerprint, one.output, one.cleared
                 )
             )
-        news = self.merge_suspicions(suspicions, self.is_relay())
+        changed = self.merge_suspicions(suspicions, self.is_relay())
         now = time.monotonic()
         for one in message.canaries:
             canary = canaries_module.Canary(
@@ -370,6 +370,6 @@
                 one.instance,
                 now + one.seconds,
             )
-            news |= self.canaries.merge(canary, now)
-        if news and self.is_relay():
+            changed |= self.canaries.merge(canary, now)
+        if changed and self.is_relay():
             self.notify_peers()
