--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -115,7 +115,7 @@
         age = 0.0
         if not progress.answer_started:
             age = started - progress.call.arrival
-        longest = MAX_HOLD_FRACTION * route.remaining_wait(
+        max_hold = MAX_HOLD_FRACTION * route.remaining_wait(
             progress.time_left(), age
         )
         while replica is not None:
@@ -127,7 +127,7 @@
             self.admit(progress)
             replica = choose()
             held = time.monotonic() - started
-            if held >= longest:
+            if held >= max_hold:
                 self.log_held(progress, held, False)
                 if progress.answer_started:
                     raise exceptions.AnswerAbandoned(
