--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -131,9 +131,9 @@
                 end = max(end, found + len(mark))
         if len(self.pending) - end > MAX_EVENT_BYTES:
             raise exceptions.AnswerBroken("an incomplete event is too large")
-        whole = self.pending[:end]
+        complete = self.pending[:end]
         self.pending = self.pending[end:]
-        for line in whole.splitlines():
+        for line in complete.splitlines():
             if line.startswith(b"id:"):
                 self.last_event = line[3:].strip().decode("latin-1")
-        return whole
+        return complete
