--- a/packages/gypsumfold/src/gypsumfold/gateway/streams.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/streams.py
@@ -125,10 +125,10 @@
         """
         self.pending += data
         end = 0
-        for mark in EVENT_TERMINATORS:
-            found = self.pending.rfind(mark)
+        for terminator in EVENT_TERMINATORS:
+            found = self.pending.rfind(terminator)
             if found >= 0:
-                end = max(end, found + len(mark))
+                end = max(end, found + len(terminator))
         if len(self.pending) - end > MAX_EVENT_BYTES:
             raise exceptions.AnswerBroken("an incomplete event is too large")
         complete = self.pending[:end]
