--- a/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/plain_calls.py
@@ -52,9 +52,9 @@
         Raises:
             exceptions.RequestError: No replica answered.
         """
-        answered = None
+        last_answer = None
         for attempt in range(MAX_ATTEMPTS):
-            if answered is not None and not self.quarantine.is_unsuspected(
+            if last_answer is not None and not self.quarantine.is_unsuspected(
                 progress.fingerprint
             ):
                 break
@@ -77,12 +77,12 @@
                 if self.can_retry(route, progress):
                     continue
                 break
-            answered = found
+            last_answer = found
             status = found[0]
             if status < 500 or not self.can_retry(route, progress):
                 break
-        if answered is not None:
-            await reply.send(*answered)
+        if last_answer is not None:
+            await reply.send(*last_answer)
             return
         raise progress.final_error()
 
