--- a/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/prefills.py
@@ -320,7 +320,7 @@
     Args:
         choice: The engine that would have completed the prefill first.
         progress: Progress of the request.
-        behind: Seconds of deferred prefills queued ahead.
+        deferred_ahead: Seconds of deferred prefills queued ahead.
     """
     left = progress.time_left()
     events.log(
