--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -166,7 +166,7 @@
         "silent": ENGINE in directory.suspects,
         "owing": ENGINE in directory.silence.last_byte_at,
         "leaving": ENGINE in directory.draining_since,
-        "cached": context.homes.caches.cached(ENGINE, CHAIN, "m") > 0,
+        "cached": context.homes.caches.cached_tokens(ENGINE, CHAIN, "m") > 0,
         "ordered": ENGINE in context.planner.pending,
         "told": ENGINE in context.gossip.outbox.roles,
     }
--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -71,7 +71,7 @@
 
     >>> caches = Caches()
     >>> caches.add("engine-1", chain, "m", capacity=400_000)
-    >>> caches.cached("engine-1", chain, "m")
+    >>> caches.cached_tokens("engine-1", chain, "m")
     1460
     """
 
