--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -1,7 +1,7 @@
 """Loads at startup which prefix blocks each engine has cached.
 
-A node that restarts would otherwise assume empty caches, send prompts to other
-than their preferred engines and have them prefilled again. So it asks each
+A node that restarts would otherwise assume empty caches, route prompts away
+from their preferred engines and have them prefilled again. So it asks each
 engine once; later changes come from the other nodes. If a relay serves the data
 centre, only the relay asks the engines: after a power loss 195 nodes asked 78
 engines 15,000 times within seconds, and each list delays its engine's work.
@@ -39,7 +39,7 @@
         has_lists: Whether this node has any lists.
 
     >>> lists = CacheLists(
-    ...     directory, configurations, endpoints, homes, gossip, questions
+    ...     directory, configurations, endpoints, router, gossip, questions
     ... )
     >>> await lists.run()
     """
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -44,7 +44,8 @@
     async def probe(self, instance: str) -> None:
         """Probes one replica.
 
-        An answer from another instance means that its process has ended.
+        An answer from another instance means that the replica's process has
+        ended.
         """
         replica = self.directory.replicas.get(instance)
         if replica is None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -34,13 +34,13 @@
     Attributes:
         newer_peer: Address of a node with a newer configuration.
         differing_peer: Address of a node with other registrations.
-        next_question: Earliest time to ask a peer for all registrations.
+        next_question_at: Earliest time to ask a peer for all registrations.
         fetch_needed: Set when a peer may have to be asked.
         was_stale: Whether the registrations were stale at the last check.
 
     >>> copy = StoreCopy(
     ...     registrations, configurations, watches[0], watches[1],
-    ...     gossip.reads, questions, reads.limits(contact=3.0)
+    ...     gossip.reads, questions, read_timeouts.derive(contact=3.0)
     ... )
     >>> copy.should_read_registrations()
     True
