--- a/packages/gypsumfold/src/gypsumfold/decisions/load_deltas.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/load_deltas.py
@@ -85,8 +85,8 @@
     def amounts(self, now: float) -> dict[str, float]:
         """Returns the amounts that haven't expired."""
         found = {}
-        for key, (amount, told) in list(self.received.items()):
-            if now - told > EXPIRY_SECONDS:
+        for key, (amount, received_at) in list(self.received.items()):
+            if now - received_at > EXPIRY_SECONDS:
                 del self.received[key]
                 continue
             found[key] = amount
