--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -22,7 +22,7 @@
         self.homes = homes
         self.directory = directory
 
-    def hear(self, news: messages.News, now: float) -> None:
+    def apply(self, news: messages.News, now: float) -> None:
         """Takes in what happened elsewhere."""
         for engine, seconds in news.closed.items():
             if self.of_newest_start(engine, news):
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -400,7 +400,7 @@
                 self.hear_knowledge(member, report.knowledge, True)
             else:
                 self.relaying.greet(member, now)
-            self.beliefs.hear(report.news, now)
+            self.beliefs.apply(report.news, now)
             return
         self.leave_mesh()
         if self.relaying.report(member, report, now):
@@ -409,7 +409,7 @@
             self.tell_nodes(due, now)
         if self.choice.relay is None:
             self.loads.told(member.name, report.amounts, until)
-        self.beliefs.hear(report.news, now)
+        self.beliefs.apply(report.news, now)
         if report.wants == messages.WANTS_ALL:
             self.pass_on(report.news, now)
 
@@ -440,7 +440,7 @@
             self.site.amounts(now), self.reports.own_part()
         )
         self.loads.told(relay.data_centre, others, now + loads_module.SILENT)
-        self.beliefs.hear(summary.news, now)
+        self.beliefs.apply(summary.news, now)
 
     def hear_knowledge(
         self,
@@ -470,7 +470,7 @@
         if best is not None and best.member.name == member.name:
             until = now + loads_module.SILENT
             self.loads.told(data_centre, best.listener.amounts(now), until)
-            self.beliefs.hear(summary.news, now)
+            self.beliefs.apply(summary.news, now)
             if self.relaying.for_nodes.add(summary.news, now):
                 self.urgent.set()
 
