--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -25,10 +25,10 @@
     def apply(self, news: messages.News, now: float) -> None:
         """Takes in what happened elsewhere."""
         for engine, seconds in news.closed.items():
-            if self.of_newest_start(engine, news):
+            if self.is_newest_incarnation(engine, news):
                 self.directory.close_until(engine, now + seconds)
         for engine, (role, seconds) in news.roles.items():
-            if self.of_newest_start(engine, news):
+            if self.is_newest_incarnation(engine, news):
                 self.believe(engine, role, now + seconds)
         for instance in news.unreachable:
             if instance not in self.directory.suspects:
@@ -38,7 +38,7 @@
                 placed.engine, placed.links, placed.tokens
             )
 
-    def of_newest_start(self, engine: str, news: messages.News) -> bool:
+    def is_newest_incarnation(self, engine: str, news: messages.News) -> bool:
         """Whether a peer speaks of the engine that this node knows."""
         if engine not in self.directory.replicas:
             return False
