--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -29,7 +29,7 @@
                 self.directory.close_until(engine, now + seconds)
         for engine, (role, seconds) in news.roles.items():
             if self.is_newest_incarnation(engine, news):
-                self.believe(engine, role, now + seconds)
+                self.apply_role(engine, role, now + seconds)
         for instance in news.unreachable:
             if instance not in self.directory.suspects:
                 self.directory.request_probe(instance)
@@ -45,7 +45,7 @@
         born = news.births.get(engine, 0)
         return self.directory.incarnations.observe(engine, born)
 
-    def believe(self, engine: str, role: str, until: float) -> None:
+    def apply_role(self, engine: str, role: str, until: float) -> None:
         """Takes an engine's new role in as a peer says it."""
         try:
             found = decision_types.Role(role)
