--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -7,7 +7,7 @@
 from gypsumfold.gateway.peers import messages
 
 
-class Beliefs:
+class RemoteState:
     """What this node believes of engines by the news of others.
 
     >>> beliefs = Beliefs(homes, directory)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -130,7 +130,7 @@
             directory,
             bandwidth.Bandwidth(link, bandwidth.SUMMARIES_SHARE),
         )
-        self.beliefs = beliefs_module.Beliefs(homes, directory)
+        self.beliefs = beliefs_module.RemoteState(homes, directory)
         self.meshed = True
         self.chosen = False
         self.again = False
