--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -13,7 +13,7 @@
 from gypsumfold.gateway.peers import sending
 
 # Entries of one datagram, and bytes that one takes at the most.
-MOST_ENTRIES = 14
+MAX_ENTRIES_PER_DATAGRAM = 14
 ENTRY_BYTES = 45
 # Datagrams that are sent at once.
 MOST_DATAGRAMS = 16
@@ -82,13 +82,13 @@
         if not receivers:
             return False
         left = self.bandwidth.available(now) / (ENTRY_BYTES * len(receivers))
-        most = min(int(left), MOST_ENTRIES * MOST_DATAGRAMS)
+        most = min(int(left), MAX_ENTRIES_PER_DATAGRAM * MOST_DATAGRAMS)
         if most < 1:
             return True
         news = self.source.updates(most)
         entries = max(len(news.interrupted), len(news.canaries))
-        for start in range(0, entries, MOST_ENTRIES):
-            end = start + MOST_ENTRIES
+        for start in range(0, entries, MAX_ENTRIES_PER_DATAGRAM):
+            end = start + MAX_ENTRIES_PER_DATAGRAM
             size = self.sender.crashes(
                 news.interrupted[start:end], news.canaries[start:end], receivers
             )
