--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -14,7 +14,7 @@
 
 # Entries of one datagram, and bytes that one takes at the most.
 MAX_ENTRIES_PER_DATAGRAM = 14
-ENTRY_BYTES = 45
+MAX_ENTRY_BYTES = 45
 # Datagrams that are sent at once.
 MOST_DATAGRAMS = 16
 # Seconds between two sends at the least; between two sends of the same entry,
@@ -81,7 +81,9 @@
         receivers = self.receivers()
         if not receivers:
             return False
-        left = self.bandwidth.available(now) / (ENTRY_BYTES * len(receivers))
+        left = self.bandwidth.available(now) / (
+            MAX_ENTRY_BYTES * len(receivers)
+        )
         most = min(int(left), MAX_ENTRIES_PER_DATAGRAM * MOST_DATAGRAMS)
         if most < 1:
             return True
