--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -16,7 +16,7 @@
 MAX_ENTRIES_PER_DATAGRAM = 14
 MAX_ENTRY_BYTES = 45
 # Datagrams that are sent at once.
-MOST_DATAGRAMS = 16
+MAX_DATAGRAMS_PER_SEND = 16
 # Seconds between two sends at the least; between two sends of the same entry,
 # which may be lost; and between two looks where nothing is new.
 GAP = 0.01
@@ -84,7 +84,7 @@
         left = self.bandwidth.available(now) / (
             MAX_ENTRY_BYTES * len(receivers)
         )
-        most = min(int(left), MAX_ENTRIES_PER_DATAGRAM * MOST_DATAGRAMS)
+        most = min(int(left), MAX_ENTRIES_PER_DATAGRAM * MAX_DATAGRAMS_PER_SEND)
         if most < 1:
             return True
         news = self.source.updates(most)
