--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -19,7 +19,7 @@
 MAX_DATAGRAMS_PER_SEND = 16
 # Seconds between two sends at the least; between two sends of the same entry,
 # which may be lost; and between two looks where nothing is new.
-GAP = 0.01
+MIN_SEND_INTERVAL_SECONDS = 0.01
 AGAIN = 0.1
 IDLE = 0.5
 
@@ -74,7 +74,7 @@
                     await self.due.wait()
             self.due.clear()
             pause = AGAIN if self.send(time.monotonic()) else IDLE
-            await asyncio.sleep(GAP)
+            await asyncio.sleep(MIN_SEND_INTERVAL_SECONDS)
 
     def send(self, now: float) -> bool:
         """Sends what the link bears now; whether there is more to send."""
