--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -20,7 +20,7 @@
 # Seconds between two sends at the least; between two sends of the same entry,
 # which may be lost; and between two looks where nothing is new.
 MIN_SEND_INTERVAL_SECONDS = 0.01
-AGAIN = 0.1
+RESEND_SECONDS = 0.1
 IDLE = 0.5
 
 
@@ -73,7 +73,7 @@
                 async with asyncio.timeout(pause):
                     await self.due.wait()
             self.due.clear()
-            pause = AGAIN if self.send(time.monotonic()) else IDLE
+            pause = RESEND_SECONDS if self.send(time.monotonic()) else IDLE
             await asyncio.sleep(MIN_SEND_INTERVAL_SECONDS)
 
     def send(self, now: float) -> bool:
