--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -21,7 +21,7 @@
 # which may be lost; and between two looks where nothing is new.
 MIN_SEND_INTERVAL_SECONDS = 0.01
 RESEND_SECONDS = 0.1
-IDLE = 0.5
+IDLE_CHECK_SECONDS = 0.5
 
 
 class News(NamedTuple):
@@ -67,13 +67,17 @@
 
     async def run(self) -> None:
         """Sends for as long as the node runs."""
-        pause = IDLE
+        pause = IDLE_CHECK_SECONDS
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause):
                     await self.due.wait()
             self.due.clear()
-            pause = RESEND_SECONDS if self.send(time.monotonic()) else IDLE
+            pause = (
+                RESEND_SECONDS
+                if self.send(time.monotonic())
+                else IDLE_CHECK_SECONDS
+            )
             await asyncio.sleep(MIN_SEND_INTERVAL_SECONDS)
 
     def send(self, now: float) -> bool:
