--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -41,7 +41,7 @@
 class Source(Protocol):
     """What is known, to be sent in parts."""
 
-    def updates(self, most: int) -> News:
+    def updates(self, limit: int) -> News:
         """What other nodes are sent next, that many entries at most."""
 
 
