--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -45,7 +45,7 @@
         """What other nodes are sent next, that many entries at most."""
 
 
-class CrashNews:
+class CrashUpdates:
     """Sends news as they come, within a share of the link.
 
     >>> crash_news = CrashNews(sender, source, bandwidth, lambda: members)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -98,7 +98,7 @@
         self.sender = sending.Sender(self.members, self.sealer)
         self.crashes = crashes
         link = settings.node.link_mbps
-        self.crash_news = crash_news_module.CrashNews(
+        self.crash_news = crash_news_module.CrashUpdates(
             self.sender,
             crashes,
             bandwidth.Bandwidth(link, bandwidth.CRASHES_SHARE),
