--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -38,7 +38,7 @@
     more: bool = False
 
 
-class Source(Protocol):
+class UpdateSource(Protocol):
     """What is known, to be sent in parts."""
 
     def updates(self, limit: int) -> News:
@@ -55,7 +55,7 @@
     def __init__(
         self,
         sender: sending.Sender,
-        source: Source,
+        source: UpdateSource,
         bandwidth: bandwidth_module.Bandwidth,
         receivers: Callable[[], list[members_module.Member]],
     ):
