--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -24,7 +24,7 @@
 IDLE_CHECK_SECONDS = 0.5
 
 
-class News(NamedTuple):
+class UpdateBatch(NamedTuple):
     """News of requests that may crash replicas.
 
     Attributes:
@@ -41,7 +41,7 @@
 class UpdateSource(Protocol):
     """What is known, to be sent in parts."""
 
-    def updates(self, limit: int) -> News:
+    def updates(self, limit: int) -> UpdateBatch:
         """What other nodes are sent next, that many entries at most."""
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -299,7 +299,7 @@
             crashes=sorted(crashes),
         )
 
-    def updates(self, most: int) -> crash_news.News:
+    def updates(self, most: int) -> crash_news.UpdateBatch:
         """Updates to send to other nodes next, canaries first.
 
         All nodes have to know a reservation before its request runs.
@@ -326,7 +326,7 @@
                 )
             )
         more = bool(self.crash_log.pending_sends or self.canaries.pending_sends)
-        return crash_news.News(interrupted, running, more)
+        return crash_news.UpdateBatch(interrupted, running, more)
 
     def merge_suspicions(
         self, suspicions: list[crashes_module.Interrupted], forward: bool
