--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -20,7 +20,7 @@
 
 # Seconds of silence after which a node is forgotten by those that would hear
 # it; its entry counts on.
-DEAD = 30.0
+FORGET_AFTER_SECONDS = 30.0
 # Seconds within which a node that was heard is kept though it has no entry.
 LATELY = 3.0
 # Seconds until an entry that could not be written is written again.
@@ -246,7 +246,7 @@
         now = self.clock()
         stood_still = now - self.looked_at > STOOD_STILL
         self.looked_at = now
-        for member in self.members.not_seen_since(now - DEAD):
+        for member in self.members.not_seen_since(now - FORGET_AFTER_SECONDS):
             if site.hears(member):
                 self.drop(member.name)
         if stood_still or not site.removes():
