--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -22,7 +22,7 @@
 # it; its entry counts on.
 FORGET_AFTER_SECONDS = 30.0
 # Seconds within which a node that was heard is kept though it has no entry.
-LATELY = 3.0
+RECENTLY_SEEN_SECONDS = 3.0
 # Seconds until an entry that could not be written is written again.
 AGAIN = 0.3
 # Seconds between two looks at the entries.
@@ -93,7 +93,7 @@
         """Takes in all nodes' entries in the store."""
         self.read = True
         present = {record.key for record in records if record.value}
-        lately = self.clock() - LATELY
+        lately = self.clock() - RECENTLY_SEEN_SECONDS
         for member in self.members.not_seen_since(lately):
             if member.node not in present:
                 self.drop(member.name)
@@ -265,7 +265,7 @@
             self.lost = False
             await self.enter()
             events.log(events.ENTRY_RENEWED, peer=self.members.own.node)
-        lately = self.clock() - LATELY
+        lately = self.clock() - RECENTLY_SEEN_SECONDS
         for entered in self.roster.suspected():
             name = self.members.names_by_node.get(entered.node, "")
             member = self.members.known.get(name)
