--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -24,7 +24,7 @@
 # Seconds within which a node that was heard is kept though it has no entry.
 RECENTLY_SEEN_SECONDS = 3.0
 # Seconds until an entry that could not be written is written again.
-AGAIN = 0.3
+RETRY_SECONDS = 0.3
 # Seconds between two looks at the entries.
 LOOK = 1.0
 # Seconds between two looks after which this node itself has stood still, and
@@ -184,7 +184,7 @@
         while True:
             if await self.read_all():
                 return
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RETRY_SECONDS)
 
     async def read_all(self) -> bool:
         """Reads all entries once; whether the store answered."""
@@ -206,7 +206,7 @@
                 return
             self.delayed = True
             self.ready()
-            await asyncio.sleep(AGAIN)
+            await asyncio.sleep(RETRY_SECONDS)
 
     async def write(
         self, member: members_module.Member, suspected: bool
