--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -104,7 +104,7 @@
             gossip.changed.clear()
             self.reported = now
             gossip.report(now)
-        if now - self.looked >= entries_module.LOOK:
+        if now - self.looked >= entries_module.CHECK_INTERVAL_SECONDS:
             self.looked = now
             finish(gossip.entries.look(gossip))
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -26,7 +26,7 @@
 # Seconds until an entry that could not be written is written again.
 RETRY_SECONDS = 0.3
 # Seconds between two looks at the entries.
-LOOK = 1.0
+CHECK_INTERVAL_SECONDS = 1.0
 # Seconds between two looks after which this node itself has stood still, and
 # what it has not heard says nothing.
 STOOD_STILL = 3.0
@@ -168,7 +168,7 @@
         await self.announce()
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(LOOK):
+                async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                     await self.due.wait()
             self.due.clear()
             await self.look(site)
