--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -29,7 +29,7 @@
 CHECK_INTERVAL_SECONDS = 1.0
 # Seconds between two looks after which this node itself has stood still, and
 # what it has not heard says nothing.
-STOOD_STILL = 3.0
+STALL_SECONDS = 3.0
 
 
 class Site(Protocol):
@@ -244,7 +244,7 @@
         """Renews entries of nodes that run; lets go those of dead ones."""
         await self.renew(site)
         now = self.clock()
-        stood_still = now - self.looked_at > STOOD_STILL
+        stood_still = now - self.looked_at > STALL_SECONDS
         self.looked_at = now
         for member in self.members.not_seen_since(now - FORGET_AFTER_SECONDS):
             if site.hears(member):
