--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -77,7 +77,7 @@
         self.mesh = mesh
         self.clock = clock
         self.roster = member_entries_module.MemberEntries()
-        self.read = False
+        self.read_once = False
         self.entered = False
         self.delayed = False
         self.withdrawn = False
@@ -91,7 +91,7 @@
 
     def replace(self, records: list[store_module.Record]) -> None:
         """Takes in all nodes' entries in the store."""
-        self.read = True
+        self.read_once = True
         present = {record.key for record in records if record.value}
         lately = self.clock() - RECENTLY_SEEN_SECONDS
         for member in self.members.not_seen_since(lately):
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -515,7 +515,7 @@
         One that starts knows that once it has read who else takes part, and
         none that ranks higher has still to answer.
         """
-        return self.entries.read and self.reads() and not self.choice.asked
+        return self.entries.read_once and self.reads() and not self.choice.asked
 
     def readers(self) -> int:
         """How many nodes read the store for all."""
@@ -526,7 +526,7 @@
     def may_lead(self) -> bool:
         """Whether this node offers to give orders to engines."""
         if self.meshed:
-            return self.entries.read
+            return self.entries.read_once
         return self.relays.is_settled(self.clock())
 
     def nodes(self) -> int:
