--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -76,7 +76,7 @@
         self.members = members
         self.mesh = mesh
         self.clock = clock
-        self.roster = member_entries_module.MemberEntries()
+        self.others = member_entries_module.MemberEntries()
         self.read_once = False
         self.entered = False
         self.delayed = False
@@ -97,7 +97,7 @@
         for member in self.members.not_seen_since(lately):
             if member.node not in present:
                 self.drop(member.name)
-        self.roster.retain(present)
+        self.others.retain(present)
         if self.members.own.node not in present:
             self.removed(self.members.own.node)
         self.update(records)
@@ -105,7 +105,7 @@
     def update(self, records: list[store_module.Record]) -> None:
         """Takes in entries that came since."""
         now = self.clock()
-        self.roster.record_read(now)
+        self.others.record_read(now)
         for record in records:
             if not record.value:
                 self.removed(record.key)
@@ -135,7 +135,7 @@
             messages.socket_address(entry.address),
             entry.power,
         )
-        self.roster.put(member, entry.suspected, now)
+        self.others.put(member, entry.suspected, now)
         if not entry.suspected:
             self.members.add(member, now)
 
@@ -143,10 +143,10 @@
         """Takes in that an entry is gone."""
         if node == self.members.own.node:
             if self.entered:
-                self.roster.own_missing_at = self.clock()
+                self.others.own_missing_at = self.clock()
             self.note_lost()
             return
-        self.roster.remove(node)
+        self.others.remove(node)
         self.drop(self.members.names_by_node.get(node, ""))
 
     def note_lost(self) -> None:
@@ -266,14 +266,14 @@
             await self.enter()
             events.log(events.ENTRY_RENEWED, peer=self.members.own.node)
         lately = self.clock() - RECENTLY_SEEN_SECONDS
-        for entered in self.roster.suspected():
+        for entered in self.others.suspected():
             name = self.members.names_by_node.get(entered.node, "")
             member = self.members.known.get(name)
             if member is None or self.members.last_seen[name] < lately:
                 continue
             if not site.vouches(member) or not await self.write(member, False):
                 continue
-            self.roster.put(member, False, self.clock())
+            self.others.put(member, False, self.clock())
             events.log(events.ENTRY_RENEWED, peer=member.node)
 
     async def suspect(self, site: Site) -> None:
@@ -286,17 +286,17 @@
         for member in self.unheard(site):
             if not await self.write(member, True):
                 return
-            self.roster.put(member, True, self.clock())
+            self.others.put(member, True, self.clock())
             events.log(events.ENTRY_SUSPECTED, peer=member.node)
 
     def unheard(self, site: Site) -> list[members_module.Member]:
         """The nodes that should be heard and are not."""
-        silent = self.roster.to_suspect(self.members, self.clock())
+        silent = self.others.to_suspect(self.members, self.clock())
         return [member for member in silent if site.hears(member)]
 
     def dead(self, site: Site) -> list[members_module.Member]:
         """The nodes whose entries are to go, as far as is known."""
-        dead = self.roster.expired(self.clock())
+        dead = self.others.expired(self.clock())
         return [member for member in dead if site.hears(member)]
 
     async def remove(self, site: Site) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -121,7 +121,7 @@
         self.entries.many = self.leave_mesh
         self.entries.drop = self.drop
         self.census = node_count_module.NodeCount(
-            self.members, self.entries.roster
+            self.members, self.entries.others
         )
         self.summaries = summaries_module.Summaries(
             self.relaying,
@@ -378,7 +378,7 @@
             sender.power,
         )
         self.members.observe(member, now)
-        self.entries.roster.observe(member)
+        self.entries.others.observe(member)
         if isinstance(message, messages.Crashes):
             self.crashes.merge_message(message)
         elif isinstance(message, messages.Report):
@@ -546,7 +546,7 @@
 
     def sharing(self) -> int:
         """Counts the nodes that share what the site has once; 0 if unknown."""
-        known_for = self.clock() - self.entries.roster.first_read_at
+        known_for = self.clock() - self.entries.others.first_read_at
         if known_for < node_count_module.STARTUP_SECONDS:
             return 0
         if self.follows() and not self.census.received:
