--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -83,7 +83,7 @@
         self.withdrawn = False
         self.lost = False
         self.due = asyncio.Event()
-        self.looked_at = -math.inf
+        self.checked_at = -math.inf
         self.listening_since = math.inf
         self.ready: Callable[[], None] = lambda: None
         self.many: Callable[[], None] = lambda: None
@@ -244,8 +244,8 @@
         """Renews entries of nodes that run; lets go those of dead ones."""
         await self.renew(site)
         now = self.clock()
-        stood_still = now - self.looked_at > STALL_SECONDS
-        self.looked_at = now
+        stood_still = now - self.checked_at > STALL_SECONDS
+        self.checked_at = now
         for member in self.members.not_seen_since(now - FORGET_AFTER_SECONDS):
             if site.hears(member):
                 self.drop(member.name)
