--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -230,7 +230,7 @@
         nodes = watches["nodes"]
         nodes.is_reader = self.gossip.reads
         entries = self.gossip.entries
-        entries.ready = nodes.wake.set
+        entries.on_readable = nodes.wake.set
         nodes.should_read = lambda: (
             entries.may_read()
             and (self.gossip.reads() or not nodes.has_read_all)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -85,7 +85,7 @@
         self.due = asyncio.Event()
         self.checked_at = -math.inf
         self.listening_since = math.inf
-        self.ready: Callable[[], None] = lambda: None
+        self.on_readable: Callable[[], None] = lambda: None
         self.many: Callable[[], None] = lambda: None
         self.drop: Callable[[str], None] = members.remove
 
@@ -202,10 +202,10 @@
         while True:
             if await self.write(self.members.own, False):
                 self.entered = True
-                self.ready()
+                self.on_readable()
                 return
             self.delayed = True
-            self.ready()
+            self.on_readable()
             await asyncio.sleep(RETRY_SECONDS)
 
     async def write(
