--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -86,7 +86,7 @@
         self.checked_at = -math.inf
         self.listening_since = math.inf
         self.on_readable: Callable[[], None] = lambda: None
-        self.many: Callable[[], None] = lambda: None
+        self.on_mesh_exceeded: Callable[[], None] = lambda: None
         self.drop: Callable[[str], None] = members.remove
 
     def replace(self, records: list[store_module.Record]) -> None:
@@ -119,7 +119,7 @@
                 continue
             self.take(record.key, entry, now)
         if len(self.members.known) >= self.mesh:
-            self.many()
+            self.on_mesh_exceeded()
 
     def take(self, node: str, entry: messages.Entry, now: float) -> None:
         """Takes in one entry; one that is suspected makes nobody known."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -118,7 +118,7 @@
             settings.peers.mesh,
             lambda: self.clock(),
         )
-        self.entries.many = self.leave_mesh
+        self.entries.on_mesh_exceeded = self.leave_mesh
         self.entries.drop = self.drop
         self.census = node_count_module.NodeCount(
             self.members, self.entries.others
