--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -87,7 +87,7 @@
         self.listening_since = math.inf
         self.on_readable: Callable[[], None] = lambda: None
         self.on_mesh_exceeded: Callable[[], None] = lambda: None
-        self.drop: Callable[[str], None] = members.remove
+        self.on_node_removed: Callable[[str], None] = members.remove
 
     def replace(self, records: list[store_module.Record]) -> None:
         """Takes in all nodes' entries in the store."""
@@ -96,7 +96,7 @@
         lately = self.clock() - RECENTLY_SEEN_SECONDS
         for member in self.members.not_seen_since(lately):
             if member.node not in present:
-                self.drop(member.name)
+                self.on_node_removed(member.name)
         self.others.retain(present)
         if self.members.own.node not in present:
             self.removed(self.members.own.node)
@@ -147,7 +147,7 @@
             self.note_lost()
             return
         self.others.remove(node)
-        self.drop(self.members.names_by_node.get(node, ""))
+        self.on_node_removed(self.members.names_by_node.get(node, ""))
 
     def note_lost(self) -> None:
         """Notes that this node's entry is not as it has to be."""
@@ -248,7 +248,7 @@
         self.checked_at = now
         for member in self.members.not_seen_since(now - FORGET_AFTER_SECONDS):
             if site.hears(member):
-                self.drop(member.name)
+                self.on_node_removed(member.name)
         if stood_still or not site.removes():
             self.listening_since = now
             return
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -119,7 +119,7 @@
             lambda: self.clock(),
         )
         self.entries.on_mesh_exceeded = self.leave_mesh
-        self.entries.drop = self.drop
+        self.entries.on_node_removed = self.drop
         self.census = node_count_module.NodeCount(
             self.members, self.entries.others
         )
