--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -117,11 +117,11 @@
                     events.RECORD_SKIPPED, key=record.key, reason=str(error)
                 )
                 continue
-            self.take(record.key, entry, now)
+            self.apply_entry(record.key, entry, now)
         if len(self.members.known) >= self.mesh:
             self.on_mesh_exceeded()
 
-    def take(self, node: str, entry: messages.Entry, now: float) -> None:
+    def apply_entry(self, node: str, entry: messages.Entry, now: float) -> None:
         """Takes in one entry; one that is suspected makes nobody known."""
         own = self.members.own
         if node == own.node:
