--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -99,7 +99,7 @@
                 self.on_node_removed(member.name)
         self.others.retain(present)
         if self.members.own.node not in present:
-            self.removed(self.members.own.node)
+            self.apply_removal(self.members.own.node)
         self.update(records)
 
     def update(self, records: list[store_module.Record]) -> None:
@@ -108,7 +108,7 @@
         self.others.record_read(now)
         for record in records:
             if not record.value:
-                self.removed(record.key)
+                self.apply_removal(record.key)
                 continue
             try:
                 entry = messages.entry(record.value)
@@ -139,7 +139,7 @@
         if not entry.suspected:
             self.members.add(member, now)
 
-    def removed(self, node: str) -> None:
+    def apply_removal(self, node: str) -> None:
         """Takes in that an entry is gone."""
         if node == self.members.own.node:
             if self.entered:
@@ -309,5 +309,5 @@
         for member in self.dead(site):
             if not await self.put(member.node, b""):
                 return
-            self.removed(member.node)
+            self.apply_removal(member.node)
             events.log(events.ENTRY_REMOVED, peer=member.node)
