--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -126,7 +126,7 @@
         own = self.members.own
         if node == own.node:
             if entry.suspected or entry.member < own.name:
-                self.note_lost()
+                self.mark_lost()
             return
         member = members_module.Member(
             entry.member or node,
@@ -144,12 +144,12 @@
         if node == self.members.own.node:
             if self.entered:
                 self.others.own_missing_at = self.clock()
-            self.note_lost()
+            self.mark_lost()
             return
         self.others.remove(node)
         self.on_node_removed(self.members.names_by_node.get(node, ""))
 
-    def note_lost(self) -> None:
+    def mark_lost(self) -> None:
         """Notes that this node's entry is not as it has to be."""
         if self.entered and not self.withdrawn:
             self.lost = True
