--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -232,7 +232,7 @@
         entries = self.gossip.entries
         entries.on_readable = nodes.wake.set
         nodes.should_read = lambda: (
-            entries.may_read()
+            entries.can_read()
             and (self.gossip.reads() or not nodes.has_read_all)
         )
         return watches
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -155,7 +155,7 @@
             self.lost = True
             self.due.set()
 
-    def may_read(self) -> bool:
+    def can_read(self) -> bool:
         """Whether the entries of others may be read for the first time.
 
         Two nodes that both read before the other is entered would not know
