--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -177,9 +177,9 @@
         """Enters this node in the store; returns when others can know it."""
         await self.enter()
         if self.delayed:
-            await self.read_again()
+            await self.reread()
 
-    async def read_again(self) -> None:
+    async def reread(self) -> None:
         """Reads all entries, since this node was entered after a reading."""
         while True:
             if await self.read_all():
