--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -200,7 +200,7 @@
     async def enter(self) -> None:
         """Enters this node in the store; returns when it is there."""
         while True:
-            if await self.write(self.members.own, False):
+            if await self.write_entry(self.members.own, False):
                 self.entered = True
                 self.on_readable()
                 return
@@ -208,7 +208,7 @@
             self.on_readable()
             await asyncio.sleep(RETRY_SECONDS)
 
-    async def write(
+    async def write_entry(
         self, member: members_module.Member, suspected: bool
     ) -> bool:
         """Writes a node's entry; whether the store has taken it."""
@@ -271,7 +271,9 @@
             member = self.members.known.get(name)
             if member is None or self.members.last_seen[name] < lately:
                 continue
-            if not site.vouches(member) or not await self.write(member, False):
+            if not site.vouches(member) or not await self.write_entry(
+                member, False
+            ):
                 continue
             self.others.put(member, False, self.clock())
             events.log(events.ENTRY_RENEWED, peer=member.node)
@@ -284,7 +286,7 @@
         if not self.unheard(site) or not await self.read_all():
             return
         for member in self.unheard(site):
-            if not await self.write(member, True):
+            if not await self.write_entry(member, True):
                 return
             self.others.put(member, True, self.clock())
             events.log(events.ENTRY_SUSPECTED, peer=member.node)
