--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -220,9 +220,9 @@
             member.power,
             suspected,
         )
-        return await self.put(member.node, msgspec.json.encode(entry))
+        return await self.put_record(member.node, msgspec.json.encode(entry))
 
-    async def put(self, node: str, value: bytes) -> bool:
+    async def put_record(self, node: str, value: bytes) -> bool:
         """Writes a VM's record; whether the store has taken it."""
         asked = clocks.now()
         try:
@@ -238,7 +238,7 @@
         Where the store does not take that, another node removes it later.
         """
         self.withdrawn = True
-        await self.put(self.members.own.node, b"")
+        await self.put_record(self.members.own.node, b"")
 
     async def look(self, site: Site) -> None:
         """Renews entries of nodes that run; lets go those of dead ones."""
@@ -309,7 +309,7 @@
         if not self.dead(site) or not await self.read_all():
             return
         for member in self.dead(site):
-            if not await self.put(member.node, b""):
+            if not await self.put_record(member.node, b""):
                 return
             self.apply_removal(member.node)
             events.log(events.ENTRY_REMOVED, peer=member.node)
