--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -106,7 +106,7 @@
             gossip.report(now)
         if now - self.looked >= entries_module.CHECK_INTERVAL_SECONDS:
             self.looked = now
-            finish(gossip.entries.look(gossip))
+            finish(gossip.entries.check(gossip))
 
     def waiting(self, engine: str, now: float) -> float:
         """Seconds of prompts at an engine, as this node believes."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -171,7 +171,7 @@
                 async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                     await self.due.wait()
             self.due.clear()
-            await self.look(site)
+            await self.check(site)
 
     async def announce(self) -> None:
         """Enters this node in the store; returns when others can know it."""
@@ -240,7 +240,7 @@
         self.withdrawn = True
         await self.put_record(self.members.own.node, b"")
 
-    async def look(self, site: Site) -> None:
+    async def check(self, site: Site) -> None:
         """Renews entries of nodes that run; lets go those of dead ones."""
         await self.renew(site)
         now = self.clock()
