--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -256,7 +256,7 @@
             now - self.listening_since
             >= member_entries_module.SUSPECT_AFTER_SECONDS
         ):
-            await self.suspect(site)
+            await self.mark_suspected(site)
         await self.remove(site)
 
     async def renew(self, site: Site) -> None:
@@ -278,7 +278,7 @@
             self.others.put(member, False, self.clock())
             events.log(events.ENTRY_RENEWED, peer=member.node)
 
-    async def suspect(self, site: Site) -> None:
+    async def mark_suspected(self, site: Site) -> None:
         """Marks the entries of nodes that should be heard and are not.
 
         They are read first: some may be gone by now, or of a later start.
