--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -283,15 +283,15 @@
 
         They are read first: some may be gone by now, or of a later start.
         """
-        if not self.unheard(site) or not await self.read_all():
+        if not self.unobserved(site) or not await self.read_all():
             return
-        for member in self.unheard(site):
+        for member in self.unobserved(site):
             if not await self.write_entry(member, True):
                 return
             self.others.put(member, True, self.clock())
             events.log(events.ENTRY_SUSPECTED, peer=member.node)
 
-    def unheard(self, site: Site) -> list[members_module.Member]:
+    def unobserved(self, site: Site) -> list[members_module.Member]:
         """The nodes that should be heard and are not."""
         silent = self.others.to_suspect(self.members, self.clock())
         return [member for member in silent if site.hears(member)]
