--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -296,7 +296,7 @@
         silent = self.others.to_suspect(self.members, self.clock())
         return [member for member in silent if site.hears(member)]
 
-    def dead(self, site: Site) -> list[members_module.Member]:
+    def removable(self, site: Site) -> list[members_module.Member]:
         """The nodes whose entries are to go, as far as is known."""
         dead = self.others.expired(self.clock())
         return [member for member in dead if site.hears(member)]
@@ -306,9 +306,9 @@
 
         They are read first: they may have been renewed since.
         """
-        if not self.dead(site) or not await self.read_all():
+        if not self.removable(site) or not await self.read_all():
             return
-        for member in self.dead(site):
+        for member in self.removable(site):
             if not await self.put_record(member.node, b""):
                 return
             self.apply_removal(member.node)
