--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -257,7 +257,7 @@
             >= member_entries_module.SUSPECT_AFTER_SECONDS
         ):
             await self.mark_suspected(site)
-        await self.remove(site)
+        await self.remove_dead(site)
 
     async def renew(self, site: Site) -> None:
         """Writes this node's entry again, and those for which it vouches."""
@@ -301,7 +301,7 @@
         dead = self.others.expired(self.clock())
         return [member for member in dead if site.hears(member)]
 
-    async def remove(self, site: Site) -> None:
+    async def remove_dead(self, site: Site) -> None:
         """Removes entries that were marked and that nobody has renewed.
 
         They are read first: they may have been renewed since.
