--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -35,7 +35,7 @@
 class Site(Protocol):
     """How this node hears the others."""
 
-    def hears(self, member: members_module.Member) -> bool:
+    def can_observe(self, member: members_module.Member) -> bool:
         """Whether it would hear another one, if that ran."""
 
     def removes(self) -> bool:
@@ -247,7 +247,7 @@
         stood_still = now - self.checked_at > STALL_SECONDS
         self.checked_at = now
         for member in self.members.not_seen_since(now - FORGET_AFTER_SECONDS):
-            if site.hears(member):
+            if site.can_observe(member):
                 self.on_node_removed(member.name)
         if stood_still or not site.removes():
             self.listening_since = now
@@ -294,12 +294,12 @@
     def unobserved(self, site: Site) -> list[members_module.Member]:
         """The nodes that should be heard and are not."""
         silent = self.others.to_suspect(self.members, self.clock())
-        return [member for member in silent if site.hears(member)]
+        return [member for member in silent if site.can_observe(member)]
 
     def removable(self, site: Site) -> list[members_module.Member]:
         """The nodes whose entries are to go, as far as is known."""
         dead = self.others.expired(self.clock())
-        return [member for member in dead if site.hears(member)]
+        return [member for member in dead if site.can_observe(member)]
 
     async def remove_dead(self, site: Site) -> None:
         """Removes entries that were marked and that nobody has renewed.
