--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -144,7 +144,7 @@
         directory.unreachable_listeners.append(self.not_reached)
         directory.removal_listeners.append(self.forget)
 
-    def hears(self, member: members_module.Member) -> bool:
+    def can_observe(self, member: members_module.Member) -> bool:
         """Whether this node would hear another one, if that ran.
 
         One that follows a relay hears no others but relays.
