--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -38,7 +38,7 @@
     def can_observe(self, member: members_module.Member) -> bool:
         """Whether it would hear another one, if that ran."""
 
-    def removes(self) -> bool:
+    def can_remove_entries(self) -> bool:
         """Whether it looks after the entries of those that it hears."""
 
     def vouches(self, member: members_module.Member) -> bool:
@@ -249,7 +249,7 @@
         for member in self.members.not_seen_since(now - FORGET_AFTER_SECONDS):
             if site.can_observe(member):
                 self.on_node_removed(member.name)
-        if stood_still or not site.removes():
+        if stood_still or not site.can_remove_entries():
             self.listening_since = now
             return
         if (
