--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -156,7 +156,7 @@
             self.clock()
         )
 
-    def removes(self) -> bool:
+    def can_remove_entries(self) -> bool:
         """Whether this node removes the entries of dead ones."""
         if self.meshed:
             return self.leadership.token(self.clock()) is not None
