--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -41,7 +41,7 @@
     def can_remove_entries(self) -> bool:
         """Whether it looks after the entries of those that it hears."""
 
-    def vouches(self, member: members_module.Member) -> bool:
+    def can_renew(self, member: members_module.Member) -> bool:
         """Whether it renews the entry of another one that it hears."""
 
 
@@ -271,7 +271,7 @@
             member = self.members.known.get(name)
             if member is None or self.members.last_seen[name] < lately:
                 continue
-            if not site.vouches(member) or not await self.write_entry(
+            if not site.can_renew(member) or not await self.write_entry(
                 member, False
             ):
                 continue
