--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -162,7 +162,7 @@
             return self.leadership.token(self.clock()) is not None
         return self.relays.is_settled(self.clock())
 
-    def vouches(self, member: members_module.Member) -> bool:
+    def can_renew(self, member: members_module.Member) -> bool:
         """Whether this node renews the entry of another one that it hears.
 
         One that follows a relay does not read the entries, and does not learn
