--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -32,7 +32,7 @@
 STALL_SECONDS = 3.0
 
 
-class Site(Protocol):
+class Observer(Protocol):
     """How this node hears the others."""
 
     def can_observe(self, member: members_module.Member) -> bool:
@@ -163,7 +163,7 @@
         """
         return self.entered or self.delayed
 
-    async def run(self, site: Site) -> None:
+    async def run(self, site: Observer) -> None:
         """Enters this node and looks after the entries while it runs."""
         await self.announce()
         while True:
@@ -240,7 +240,7 @@
         self.withdrawn = True
         await self.put_record(self.members.own.node, b"")
 
-    async def check(self, site: Site) -> None:
+    async def check(self, site: Observer) -> None:
         """Renews entries of nodes that run; lets go those of dead ones."""
         await self.renew(site)
         now = self.clock()
@@ -259,7 +259,7 @@
             await self.mark_suspected(site)
         await self.remove_dead(site)
 
-    async def renew(self, site: Site) -> None:
+    async def renew(self, site: Observer) -> None:
         """Writes this node's entry again, and those for which it vouches."""
         if self.lost and not self.withdrawn:
             self.lost = False
@@ -278,7 +278,7 @@
             self.others.put(member, False, self.clock())
             events.log(events.ENTRY_RENEWED, peer=member.node)
 
-    async def mark_suspected(self, site: Site) -> None:
+    async def mark_suspected(self, site: Observer) -> None:
         """Marks the entries of nodes that should be heard and are not.
 
         They are read first: some may be gone by now, or of a later start.
@@ -291,17 +291,17 @@
             self.others.put(member, True, self.clock())
             events.log(events.ENTRY_SUSPECTED, peer=member.node)
 
-    def unobserved(self, site: Site) -> list[members_module.Member]:
+    def unobserved(self, site: Observer) -> list[members_module.Member]:
         """The nodes that should be heard and are not."""
         silent = self.others.to_suspect(self.members, self.clock())
         return [member for member in silent if site.can_observe(member)]
 
-    def removable(self, site: Site) -> list[members_module.Member]:
+    def removable(self, site: Observer) -> list[members_module.Member]:
         """The nodes whose entries are to go, as far as is known."""
         dead = self.others.expired(self.clock())
         return [member for member in dead if site.can_observe(member)]
 
-    async def remove_dead(self, site: Site) -> None:
+    async def remove_dead(self, site: Observer) -> None:
         """Removes entries that were marked and that nobody has renewed.
 
         They are read first: they may have been renewed since.
