--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -135,7 +135,7 @@
         messages.Amounts({"i-1/0": 0.5}),
         messages.News(),
     )
-    data = frames.encoded(report, context.gossip.sealer)
+    data = frames.encode(report, context.gossip.sealer)
     context.gossip.datagram_received(data, ("10.0.0.2", 8092))
     assert "edge-good-1" in context.gossip.members.known
 
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -529,7 +529,7 @@
         messages.Amounts(),
         messages.News(),
     )
-    return frames.encoded(found, seals.Sealer(keys))
+    return frames.encode(found, seals.Sealer(keys))
 
 
 @behave.then('it takes frames sealed with "{first}" and with "{second}"')
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -223,7 +223,7 @@
             births={ENGINE: born},
         ),
     )
-    data = frames.encoded(report, context.gossip.sealer)
+    data = frames.encode(report, context.gossip.sealer)
     context.gossip.datagram_received(data, ("10.0.0.2", 8092))
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -8,7 +8,7 @@
 ENCODER = msgspec.msgpack.Encoder()
 
 
-def encoded(
+def encode(
     message: messages.Report | messages.Summary | messages.Crashes,
     sealer: seals.Sealer,
 ) -> bytes:
@@ -38,7 +38,7 @@
         placed = report.news.placed[len(report.news.placed) // 2 + 1 :]
         news = msgspec.structs.replace(report.news, placed=placed)
         report = msgspec.structs.replace(report, news=news)
-    return encoded(report, sealer)
+    return encode(report, sealer)
 
 
 def parts(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -75,7 +75,7 @@
         for part in frames.parts(summary, self.sealer):
             self.number += 1
             part.number = self.number
-            data = frames.encoded(part, self.sealer)
+            data = frames.encode(part, self.sealer)
             self.send("summaries", data, receivers)
             size += len(data) * len(receivers)
         return size
@@ -95,7 +95,7 @@
         message = messages.Crashes(
             self.contact(), self.number, interrupted, canaries
         )
-        data = frames.encoded(message, self.sealer)
+        data = frames.encode(message, self.sealer)
         self.send("crashes", data, receivers)
         return len(data) * len(receivers)
 
