--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -16,7 +16,7 @@
     return sealer.seal(ENCODER.encode(message))
 
 
-def fits(
+def fits_datagram(
     message: messages.Report | messages.Summary, sealer: seals.Sealer
 ) -> bool:
     """Whether a message goes into one datagram."""
@@ -31,10 +31,10 @@
     is not cut in two. Many registrations that changed at once are left out as
     well: who cannot read them asks for them, by their digest.
     """
-    if report.knowledge is not None and not fits(report, sealer):
+    if report.knowledge is not None and not fits_datagram(report, sealer):
         knowledge = msgspec.structs.replace(report.knowledge, changed=[])
         report = msgspec.structs.replace(report, knowledge=knowledge)
-    while not fits(report, sealer) and report.news.placed:
+    while not fits_datagram(report, sealer) and report.news.placed:
         placed = report.news.placed[len(report.news.placed) // 2 + 1 :]
         news = msgspec.structs.replace(report.news, placed=placed)
         report = msgspec.structs.replace(report, news=news)
@@ -52,7 +52,7 @@
     found = []
     while waiting:
         part = waiting.pop(0)
-        halves = [] if fits(part, sealer) else cut(part)
+        halves = [] if fits_datagram(part, sealer) else cut(part)
         if halves:
             waiting[:0] = halves
         else:
