--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -24,7 +24,7 @@
     return size <= messages.MOST_BYTES
 
 
-def fitting(report: messages.Report, sealer: seals.Sealer) -> bytes:
+def encode_report(report: messages.Report, sealer: seals.Sealer) -> bytes:
     """Makes one datagram of a report; it names only the newest prompts.
 
     What a node has at engines replaces what it said before, so that a report
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -58,7 +58,7 @@
             news,
             knowledge,
         )
-        data = frames.fitting(report, self.sealer)
+        data = frames.encode_report(report, self.sealer)
         self.send("reports", data, receivers)
 
     def summary(
