--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -41,7 +41,7 @@
     return encode(report, sealer)
 
 
-def parts(
+def split_summary(
     summary: messages.Summary, sealer: seals.Sealer
 ) -> list[messages.Summary]:
     """Cuts a summary into as many as it takes to fit into datagrams.
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -72,7 +72,7 @@
             Bytes that were sent.
         """
         size = 0
-        for part in frames.parts(summary, self.sealer):
+        for part in frames.split_summary(summary, self.sealer):
             self.number += 1
             part.number = self.number
             data = frames.encode(part, self.sealer)
