--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -52,7 +52,7 @@
     found = []
     while waiting:
         part = waiting.pop(0)
-        halves = [] if fits_datagram(part, sealer) else cut(part)
+        halves = [] if fits_datagram(part, sealer) else split_in_half(part)
         if halves:
             waiting[:0] = halves
         else:
@@ -60,7 +60,7 @@
     return found
 
 
-def cut(summary: messages.Summary) -> list[messages.Summary]:
+def split_in_half(summary: messages.Summary) -> list[messages.Summary]:
     """Cuts a summary in two; gives nothing where there is little to cut."""
     sums = cut_sums(summary.sums)
     news = cut_news(summary.news)
