--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -63,7 +63,7 @@
 def split_in_half(summary: messages.Summary) -> list[messages.Summary]:
     """Cuts a summary in two; gives nothing where there is little to cut."""
     sums = cut_sums(summary.sums)
-    news = cut_news(summary.news)
+    news = split_updates(summary.news)
     knowledge = cut_knowledge(summary.knowledge)
     halves = [
         msgspec.structs.replace(
@@ -81,7 +81,7 @@
     return halves
 
 
-def cut_news(news: messages.News) -> tuple[messages.News, messages.News]:
+def split_updates(news: messages.News) -> tuple[messages.News, messages.News]:
     """Cuts news in two; each part names the starts that it speaks of."""
     halves = []
     placed = cut_list(news.placed)
