--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -84,8 +84,8 @@
 def split_updates(news: messages.News) -> tuple[messages.News, messages.News]:
     """Cuts news in two; each part names the starts that it speaks of."""
     halves = []
-    placed = cut_list(news.placed)
-    unreachable = cut_list(news.unreachable)
+    placed = split_list(news.placed)
+    unreachable = split_list(news.unreachable)
     closed = cut_dict(news.closed)
     roles = cut_dict(news.roles)
     for place in range(2):
@@ -105,7 +105,7 @@
     return halves[0], halves[1]
 
 
-def cut_list(items: list) -> tuple[list, list]:
+def split_list(items: list) -> tuple[list, list]:
     """Cuts a list in two."""
     middle = len(items) // 2
     return items[:middle], items[middle:]
@@ -113,7 +113,7 @@
 
 def cut_dict(items: dict) -> tuple[dict, dict]:
     """Cuts a map in two."""
-    first, second = cut_list(list(items.items()))
+    first, second = split_list(list(items.items()))
     return dict(first), dict(second)
 
 
