--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -86,8 +86,8 @@
     halves = []
     placed = split_list(news.placed)
     unreachable = split_list(news.unreachable)
-    closed = cut_dict(news.closed)
-    roles = cut_dict(news.roles)
+    closed = split_dict(news.closed)
+    roles = split_dict(news.roles)
     for place in range(2):
         births = {}
         for engine in [*closed[place], *roles[place]]:
@@ -111,7 +111,7 @@
     return items[:middle], items[middle:]
 
 
-def cut_dict(items: dict) -> tuple[dict, dict]:
+def split_dict(items: dict) -> tuple[dict, dict]:
     """Cuts a map in two."""
     first, second = split_list(list(items.items()))
     return dict(first), dict(second)
@@ -122,7 +122,7 @@
     first = []
     second = []
     for amounts in (sums.prompts, sums.streams, sums.late, sums.demand):
-        halves = cut_dict(amounts)
+        halves = split_dict(amounts)
         first.append(halves[0])
         second.append(halves[1])
     return messages.Sums(*first), messages.Sums(*second)
