--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -62,7 +62,7 @@
 
 def split_in_half(summary: messages.Summary) -> list[messages.Summary]:
     """Cuts a summary in two; gives nothing where there is little to cut."""
-    sums = cut_sums(summary.sums)
+    sums = split_load_delta(summary.sums)
     news = split_updates(summary.news)
     knowledge = cut_knowledge(summary.knowledge)
     halves = [
@@ -117,7 +117,9 @@
     return dict(first), dict(second)
 
 
-def cut_sums(sums: messages.Sums) -> tuple[messages.Sums, messages.Sums]:
+def split_load_delta(
+    sums: messages.Sums,
+) -> tuple[messages.Sums, messages.Sums]:
     """Cuts sums in two."""
     first = []
     second = []
