--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -64,7 +64,7 @@
     """Cuts a summary in two; gives nothing where there is little to cut."""
     sums = split_load_delta(summary.sums)
     news = split_updates(summary.news)
-    knowledge = cut_knowledge(summary.knowledge)
+    knowledge = split_knowledge(summary.knowledge)
     halves = [
         msgspec.structs.replace(
             summary, sums=sums[0], news=news[0], knowledge=knowledge[0]
@@ -130,7 +130,7 @@
     return messages.Sums(*first), messages.Sums(*second)
 
 
-def cut_knowledge(
+def split_knowledge(
     knowledge: messages.Knowledge | None,
 ) -> tuple[messages.Knowledge | None, messages.Knowledge | None]:
     """Cuts what is told of the store in two; both ends have the proof."""
