--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -21,7 +21,7 @@
 ) -> bool:
     """Whether a message goes into one datagram."""
     size = len(ENCODER.encode(message)) + sealer.overhead
-    return size <= messages.MOST_BYTES
+    return size <= messages.MAX_DATAGRAM_BYTES
 
 
 def encode_report(report: messages.Report, sealer: seals.Sealer) -> bytes:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -356,7 +356,7 @@
     def datagram_received(self, data: bytes, address) -> None:
         """Takes a peer's datagram in; older than the last one is dropped."""
         try:
-            if len(data) > messages.MOST_BYTES:
+            if len(data) > messages.MAX_DATAGRAM_BYTES:
                 raise exceptions.RecordInvalid(f"{len(data)} bytes: too many")
             message = messages.message(self.sealer.open(data))
         except exceptions.RecordInvalid as error:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -12,7 +12,7 @@
 from gypsumfold import exceptions
 
 # Bytes of a datagram: what fits into one packet.
-MOST_BYTES = 1400
+MAX_DATAGRAM_BYTES = 1400
 # An amount that a peer may say; one that is no number would stay in all sums.
 Amount = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
 # The same in thousandths, as sums of many nodes are told: a third of the
