--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -202,7 +202,7 @@
     for data in context.sent:
         summary = messages.message(seals.Sealer([]).open(data))
         for placed in summary.news.placed:
-            named[tuple(placed.links)] = placed.tokens[0]
+            named[tuple(placed.prefix_hashes)] = placed.tokens[0]
     valuable = [tokens for tokens in named.values() if tokens == context.shared]
     assert len(valuable) == few, valuable
     assert len(named) - few <= most, len(named)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -35,7 +35,7 @@
                 self.directory.request_probe(instance)
         for placed in news.placed:
             self.homes.add_remote_prompt(
-                placed.engine, placed.links, placed.tokens
+                placed.engine, placed.prefix_hashes, placed.tokens
             )
 
     def is_newest_incarnation(self, engine: str, news: messages.News) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -34,7 +34,7 @@
     """
 
     engine: str
-    links: list[int]
+    prefix_hashes: list[int]
     tokens: list[int]
 
 
