--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -186,9 +186,13 @@
     context.shared = many_tokens
     outbox = context.relaying.for_nodes
     for number in range(few):
-        outbox.place(messages.Placed("i-1", [number, 1], [many_tokens, number]))
+        outbox.place(
+            messages.Placement("i-1", [number, 1], [many_tokens, number])
+        )
     for number in range(many):
-        outbox.place(messages.Placed("i-2", [number, 2], [few_tokens, number]))
+        outbox.place(
+            messages.Placement("i-2", [number, 2], [few_tokens, number])
+        )
     due = context.relaying.due(0.0)
     context.summaries.tell_nodes(due, 26, False, 0.0)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -24,7 +24,7 @@
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
 
 
-class Placed(msgspec.Struct, array_like=True):
+class Placement(msgspec.Struct, array_like=True):
     """A prompt that was sent to an engine.
 
     Attributes:
@@ -102,7 +102,7 @@
             start makes it void.
     """
 
-    placed: list[Placed] = []
+    placed: list[Placement] = []
     closed: dict[str, Amount] = {}
     roles: dict[str, tuple[str, Amount]] = {}
     unreachable: list[str] = []
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -18,13 +18,13 @@
     """
 
     def __init__(self):
-        self.placed: list[messages.Placed] = []
+        self.placed: list[messages.Placement] = []
         self.unreachable: list[str] = []
         self.closings: dict[str, float] = {}
         self.roles: dict[str, tuple[str, float]] = {}
         self.births: dict[str, int] = {}
 
-    def place(self, placed: messages.Placed) -> None:
+    def place(self, placed: messages.Placement) -> None:
         """Notes that a prompt was sent to an engine."""
         self.placed.append(placed)
         del self.placed[:-MOST_PLACED]
@@ -120,6 +120,6 @@
         return messages.News(placed, closed, roles, unreachable, births)
 
 
-def shareable(placed: messages.Placed) -> int:
+def shareable(placed: messages.Placement) -> int:
     """Tokens of a prompt before its last part, which is its caller's own."""
     return sum(placed.tokens[:-1])
