--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -118,8 +118,8 @@
 
 
 def split_load_delta(
-    sums: messages.Sums,
-) -> tuple[messages.Sums, messages.Sums]:
+    sums: messages.LoadDelta,
+) -> tuple[messages.LoadDelta, messages.LoadDelta]:
     """Cuts sums in two."""
     first = []
     second = []
@@ -127,7 +127,7 @@
         halves = split_dict(amounts)
         first.append(halves[0])
         second.append(halves[1])
-    return messages.Sums(*first), messages.Sums(*second)
+    return messages.LoadDelta(*first), messages.LoadDelta(*second)
 
 
 def split_knowledge(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -20,9 +20,9 @@
     late: load_deltas.DeltaEncoder
     demand: load_deltas.DeltaEncoder
 
-    def changed(self, amounts: messages.Amounts) -> messages.Sums:
+    def changed(self, amounts: messages.Amounts) -> messages.LoadDelta:
         """What is new since the last time, and a part of the rest."""
-        return messages.Sums(
+        return messages.LoadDelta(
             self.prompts.encode(amounts.prompts),
             self.streams.encode(amounts.streams),
             self.late.encode(amounts.late),
@@ -38,7 +38,7 @@
     late: load_deltas.DeltaDecoder
     demand: load_deltas.DeltaDecoder
 
-    def hear(self, changed: messages.Sums, now: float) -> None:
+    def hear(self, changed: messages.LoadDelta, now: float) -> None:
         """Takes in what the teller told."""
         self.prompts.receive(changed.prompts, now)
         self.streams.receive(changed.streams, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -75,7 +75,7 @@
     demand: dict[str, Amount] = {}
 
 
-class Sums(msgspec.Struct, array_like=True):
+class LoadDelta(msgspec.Struct, array_like=True):
     """Work at engines, of many nodes; as `Amounts`, in thousandths.
 
     Only what changed since the last message, and by turns the rest; zero
@@ -222,7 +222,7 @@
     number: int
     nodes: Count
     between: bool
-    sums: Sums
+    sums: LoadDelta
     news: News
     knowledge: Knowledge | None = None
     members: list[Contact] = []
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -84,7 +84,7 @@
                 self.sender.number,
                 nodes,
                 False,
-                messages.Sums(),
+                messages.LoadDelta(),
                 messages.News(),
                 knowledge,
                 introduced,
