--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -33,7 +33,7 @@
         for instance in news.unreachable:
             if instance not in self.directory.suspects:
                 self.directory.request_probe(instance)
-        for placed in news.placed:
+        for placed in news.placements:
             self.homes.add_remote_prompt(
                 placed.engine, placed.prefix_hashes, placed.tokens
             )
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -34,8 +34,8 @@
     if report.knowledge is not None and not fits_datagram(report, sealer):
         knowledge = msgspec.structs.replace(report.knowledge, changed=[])
         report = msgspec.structs.replace(report, knowledge=knowledge)
-    while not fits_datagram(report, sealer) and report.news.placed:
-        placed = report.news.placed[len(report.news.placed) // 2 + 1 :]
+    while not fits_datagram(report, sealer) and report.news.placements:
+        placed = report.news.placements[len(report.news.placements) // 2 + 1 :]
         news = msgspec.structs.replace(report.news, placed=placed)
         report = msgspec.structs.replace(report, news=news)
     return encode(report, sealer)
@@ -84,7 +84,7 @@
 def split_updates(news: messages.News) -> tuple[messages.News, messages.News]:
     """Cuts news in two; each part names the starts that it speaks of."""
     halves = []
-    placed = split_list(news.placed)
+    placed = split_list(news.placements)
     unreachable = split_list(news.unreachable)
     closed = split_dict(news.closed)
     roles = split_dict(news.roles)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -102,7 +102,7 @@
             start makes it void.
     """
 
-    placed: list[Placement] = []
+    placements: list[Placement] = []
     closed: dict[str, Amount] = {}
     roles: dict[str, tuple[str, Amount]] = {}
     unreachable: list[str] = []
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -76,7 +76,7 @@
             Whether an engine was closed that was open, which cannot wait.
         """
         urgent = False
-        for placed in news.placed:
+        for placed in news.placements:
             self.place(placed)
         for engine, seconds in news.closed.items():
             born = news.births.get(engine, 0)
