--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -220,7 +220,7 @@
         messages.News(
             closed={ENGINE: 60.0},
             roles={ENGINE: ("prefill", 60.0)},
-            births={ENGINE: born},
+            start_times={ENGINE: born},
         ),
     )
     data = frames.encode(report, context.gossip.sealer)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -42,7 +42,7 @@
         """Whether a peer speaks of the engine that this node knows."""
         if engine not in self.directory.replicas:
             return False
-        born = news.births.get(engine, 0)
+        born = news.start_times.get(engine, 0)
         return self.directory.incarnations.observe(engine, born)
 
     def apply_role(self, engine: str, role: str, until: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -91,8 +91,8 @@
     for place in range(2):
         births = {}
         for engine in [*closed[place], *roles[place]]:
-            if engine in news.births:
-                births[engine] = news.births[engine]
+            if engine in news.start_times:
+                births[engine] = news.start_times[engine]
         halves.append(
             messages.News(
                 placed[place],
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -106,7 +106,7 @@
     closed: dict[str, Amount] = {}
     roles: dict[str, tuple[str, Amount]] = {}
     unreachable: list[str] = []
-    births: dict[str, int] = {}
+    start_times: dict[str, int] = {}
 
 
 class Changed(msgspec.Struct, array_like=True):
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -79,10 +79,10 @@
         for placed in news.placements:
             self.place(placed)
         for engine, seconds in news.closed.items():
-            born = news.births.get(engine, 0)
+            born = news.start_times.get(engine, 0)
             urgent |= self.close(engine, now + seconds, born)
         for engine, (role, seconds) in news.roles.items():
-            born = news.births.get(engine, 0)
+            born = news.start_times.get(engine, 0)
             self.confirm(engine, role, now + seconds, born)
         for instance in news.unreachable:
             self.not_reached(instance)
