--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -172,7 +172,7 @@
                 1,
                 messages.WANTS_ALL,
                 messages.Amounts({}, {}, {}, {}),
-                messages.News(),
+                messages.Updates(),
             ),
             0.0,
         )
--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -133,7 +133,7 @@
         1,
         messages.WANTS_NOTHING,
         messages.Amounts({"i-1/0": 0.5}),
-        messages.News(),
+        messages.Updates(),
     )
     data = frames.encode(report, context.gossip.sealer)
     context.gossip.datagram_received(data, ("10.0.0.2", 8092))
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -527,7 +527,7 @@
         1,
         messages.WANTS_NOTHING,
         messages.Amounts(),
-        messages.News(),
+        messages.Updates(),
     )
     return frames.encode(found, seals.Sealer(keys))
 
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -217,7 +217,7 @@
         1,
         messages.WANTS_NOTHING,
         messages.Amounts(),
-        messages.News(
+        messages.Updates(
             closed={ENGINE: 60.0},
             roles={ENGINE: ("prefill", 60.0)},
             start_times={ENGINE: born},
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/beliefs.py
@@ -22,7 +22,7 @@
         self.homes = homes
         self.directory = directory
 
-    def apply(self, news: messages.News, now: float) -> None:
+    def apply(self, news: messages.Updates, now: float) -> None:
         """Takes in what happened elsewhere."""
         for engine, seconds in news.closed.items():
             if self.is_newest_incarnation(engine, news):
@@ -38,7 +38,9 @@
                 placed.engine, placed.prefix_hashes, placed.tokens
             )
 
-    def is_newest_incarnation(self, engine: str, news: messages.News) -> bool:
+    def is_newest_incarnation(
+        self, engine: str, news: messages.Updates
+    ) -> bool:
         """Whether a peer speaks of the engine that this node knows."""
         if engine not in self.directory.replicas:
             return False
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -81,7 +81,9 @@
     return halves
 
 
-def split_updates(news: messages.News) -> tuple[messages.News, messages.News]:
+def split_updates(
+    news: messages.Updates,
+) -> tuple[messages.Updates, messages.Updates]:
     """Cuts news in two; each part names the starts that it speaks of."""
     halves = []
     placed = split_list(news.placements)
@@ -94,7 +96,7 @@
             if engine in news.start_times:
                 births[engine] = news.start_times[engine]
         halves.append(
-            messages.News(
+            messages.Updates(
                 placed[place],
                 closed[place],
                 roles[place],
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -298,7 +298,7 @@
         self.noticed = now
         self.reports.notice(self.choice, now)
 
-    def news(self, now: float) -> messages.News:
+    def news(self, now: float) -> messages.Updates:
         """This node's own news, to be told once."""
         self.outbox.keep_closed(self.directory.changing_until)
         return self.outbox.take(now)
@@ -474,7 +474,7 @@
             if self.relaying.for_nodes.add(summary.news, now):
                 self.urgent.set()
 
-    def pass_on(self, news: messages.News, now: float) -> None:
+    def pass_on(self, news: messages.Updates, now: float) -> None:
         """Tells others what a node of this data centre has told."""
         self.relaying.for_relays.add(news, now)
         if self.relaying.for_nodes.add(news, now):
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -88,7 +88,7 @@
     demand: dict[str, Thousandths] = {}
 
 
-class News(msgspec.Struct, array_like=True):
+class Updates(msgspec.Struct, array_like=True):
     """What happened.
 
     Attributes:
@@ -198,7 +198,7 @@
     number: int
     wants: int
     amounts: Amounts
-    news: News
+    news: Updates
     knowledge: Knowledge | None = None
 
 
@@ -223,7 +223,7 @@
     nodes: Count
     between: bool
     sums: LoadDelta
-    news: News
+    news: Updates
     knowledge: Knowledge | None = None
     members: list[Contact] = []
     apart: bool = False
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -69,7 +69,7 @@
             if engine not in changing:
                 self.forget(engine)
 
-    def add(self, news: messages.News, now: float) -> bool:
+    def add(self, news: messages.Updates, now: float) -> bool:
         """Passes on what another node tells.
 
         Returns:
@@ -88,7 +88,7 @@
             self.not_reached(instance)
         return urgent
 
-    def take(self, now: float, most: int = MOST_PLACED) -> messages.News:
+    def take(self, now: float, most: int = MOST_PLACED) -> messages.Updates:
         """What is to be told now.
 
         Args:
@@ -117,7 +117,7 @@
         for engine, born in self.births.items():
             if born:
                 births[engine] = born
-        return messages.News(placed, closed, roles, unreachable, births)
+        return messages.Updates(placed, closed, roles, unreachable, births)
 
 
 def shareable(placed: messages.Placement) -> int:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -44,7 +44,7 @@
 
     def to_all(
         self,
-        news: messages.News,
+        news: messages.Updates,
         knowledge: summaries.Knowledge | None,
         now: float,
     ) -> None:
@@ -76,7 +76,7 @@
         return found
 
     def to_relay(
-        self, choice: relays_module.Choice, news: messages.News, now: float
+        self, choice: relays_module.Choice, news: messages.Updates, now: float
     ) -> None:
         """Tells the relay, and those that could be it, what this node has."""
         self.remember(now)
@@ -88,11 +88,11 @@
 
     def notice(self, choice: relays_module.Choice, now: float) -> None:
         """Makes this node known to those that could relay as well."""
-        self.send(choice.asked, messages.WANTS_SIGNS, messages.News(), now)
+        self.send(choice.asked, messages.WANTS_SIGNS, messages.Updates(), now)
         ranked = self.members.ranked(self.members.own.data_centre)
         place = ranked.index(self.members.own)
         next_ones = ranked[place + 1 : place + 1 + relays_module.MAX_ASKED]
-        self.send(next_ones, messages.WANTS_NOTICE, messages.News(), now)
+        self.send(next_ones, messages.WANTS_NOTICE, messages.Updates(), now)
 
     def remember(self, now: float) -> None:
         """Keeps what was reported, to be taken out of the relay's sums."""
@@ -110,7 +110,7 @@
         self,
         receivers: list[members_module.Member],
         wants: int,
-        news: messages.News,
+        news: messages.Updates,
         now: float,
     ) -> None:
         """Sends a report, and notes who is asked for an answer by it."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -43,7 +43,7 @@
         receivers: list[members_module.Member],
         wants: int,
         amounts: messages.Amounts,
-        news: messages.News,
+        news: messages.Updates,
         knowledge: messages.Knowledge | None = None,
     ) -> None:
         """Sends one report; what does not fit of the prompts is left out."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -85,7 +85,7 @@
                 nodes,
                 False,
                 messages.LoadDelta(),
-                messages.News(),
+                messages.Updates(),
                 knowledge,
                 introduced,
                 apart,
