--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -109,7 +109,7 @@
     start_times: dict[str, int] = {}
 
 
-class Changed(msgspec.Struct, array_like=True):
+class ChangedRegistration(msgspec.Struct, array_like=True):
     """A registration that changed; an empty value where it is gone."""
 
     key: str
@@ -134,7 +134,7 @@
     end: Count
     age: Amount
     digest: Annotated[int, msgspec.Meta(ge=0)]
-    changed: list[Changed]
+    changed: list[ChangedRegistration]
     grace: Amount
     version: Count
     version_end: Count
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -32,7 +32,7 @@
     """
 
     end: messages.Count
-    entries: list[messages.Changed]
+    entries: list[messages.ChangedRegistration]
 
 
 class CacheLinks(msgspec.Struct, array_like=True):
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -127,7 +127,7 @@
         registry = self.registrations.registry
         changed = []
         for change in registry.changes(now):
-            changed.append(messages.Changed(*change))
+            changed.append(messages.ChangedRegistration(*change))
         return messages.Knowledge(
             registrations.position,
             sent_age(registrations.staleness, now, between_relays),
@@ -266,7 +266,9 @@
         """Returns all registrations, for a node whose copy differs."""
         entries = []
         for key, known in self.registrations.registry.values.items():
-            entries.append(messages.Changed(key, known[0], known[1]))
+            entries.append(
+                messages.ChangedRegistration(key, known[0], known[1])
+            )
         end = self.registrations_watch.position
         return ENCODER.encode(questions_module.Registered(end, entries))
 
