--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -178,7 +178,7 @@
     owner: Count
     number: Count
     instance: str
-    seconds: Amount
+    valid_seconds: Amount
 
 
 class Report(msgspec.Struct, array_like=True, tag=1):
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -368,7 +368,7 @@
                 one.owner,
                 one.number,
                 one.instance,
-                now + one.seconds,
+                now + one.valid_seconds,
             )
             changed |= self.canaries.merge(canary, now)
         if changed and self.is_relay():
