--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -365,10 +365,10 @@
         sender = message.sender
         if sender.member == self.member:
             return
-        if message.number <= self.numbers.get(sender.member, -1):
+        if message.sequence <= self.numbers.get(sender.member, -1):
             return
         now = self.clock()
-        self.numbers[sender.member] = message.number
+        self.numbers[sender.member] = message.sequence
         # A node that started after the entries were read is known by this.
         member = members_module.Member(
             sender.member,
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -195,7 +195,7 @@
     """
 
     sender: Contact
-    number: int
+    sequence: int
     wants: int
     amounts: Amounts
     news: Updates
