--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -394,7 +394,7 @@
     ) -> None:
         """Takes in what one node says of itself."""
         until = now + loads_module.SILENT
-        if report.wants == messages.WANTS_NOTHING:
+        if report.subscription_level == messages.WANTS_NOTHING:
             if self.meshed:
                 self.loads.told(member.name, report.amounts, until)
                 self.hear_knowledge(member, report.knowledge, True)
@@ -410,7 +410,7 @@
         if self.choice.relay is None:
             self.loads.told(member.name, report.amounts, until)
         self.beliefs.apply(report.news, now)
-        if report.wants == messages.WANTS_ALL:
+        if report.subscription_level == messages.WANTS_ALL:
             self.pass_on(report.news, now)
 
     def hear_summary(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -196,7 +196,7 @@
 
     sender: Contact
     sequence: int
-    wants: int
+    subscription_level: int
     amounts: Amounts
     news: Updates
     knowledge: Knowledge | None = None
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -86,9 +86,9 @@
             self.subscribers[member.name] = found
         found.member = member
         found.amounts = report.amounts
-        found.wants = max(report.wants, messages.WANTS_NOTICE)
+        found.wants = max(report.subscription_level, messages.WANTS_NOTICE)
         found.heard = now
-        return new and report.wants != messages.WANTS_NOTICE
+        return new and report.subscription_level != messages.WANTS_NOTICE
 
     def greet(self, member: members_module.Member, now: float) -> None:
         """Notes a node that tells everybody by itself; it gets a sign."""
