--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -396,7 +396,7 @@
         until = now + loads_module.SILENT
         if report.subscription_level == messages.WANTS_NOTHING:
             if self.meshed:
-                self.loads.told(member.name, report.amounts, until)
+                self.loads.told(member.name, report.loads, until)
                 self.hear_knowledge(member, report.knowledge, True)
             else:
                 self.relaying.greet(member, now)
@@ -408,7 +408,7 @@
             due = self.relaying.due(now)
             self.tell_nodes(due, now)
         if self.choice.relay is None:
-            self.loads.told(member.name, report.amounts, until)
+            self.loads.told(member.name, report.loads, until)
         self.beliefs.apply(report.news, now)
         if report.subscription_level == messages.WANTS_ALL:
             self.pass_on(report.news, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -197,7 +197,7 @@
     sender: Contact
     sequence: int
     subscription_level: int
-    amounts: Amounts
+    loads: Amounts
     news: Updates
     knowledge: Knowledge | None = None
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -85,7 +85,7 @@
             found = Subscriber(member)
             self.subscribers[member.name] = found
         found.member = member
-        found.amounts = report.amounts
+        found.amounts = report.loads
         found.wants = max(report.subscription_level, messages.WANTS_NOTICE)
         found.heard = now
         return new and report.subscription_level != messages.WANTS_NOTICE
