--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -34,9 +34,11 @@
     if report.knowledge is not None and not fits_datagram(report, sealer):
         knowledge = msgspec.structs.replace(report.knowledge, changed=[])
         report = msgspec.structs.replace(report, knowledge=knowledge)
-    while not fits_datagram(report, sealer) and report.news.placements:
-        placed = report.news.placements[len(report.news.placements) // 2 + 1 :]
-        news = msgspec.structs.replace(report.news, placed=placed)
+    while not fits_datagram(report, sealer) and report.updates.placements:
+        placed = report.updates.placements[
+            len(report.updates.placements) // 2 + 1 :
+        ]
+        news = msgspec.structs.replace(report.updates, placed=placed)
         report = msgspec.structs.replace(report, news=news)
     return encode(report, sealer)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -400,7 +400,7 @@
                 self.hear_knowledge(member, report.knowledge, True)
             else:
                 self.relaying.greet(member, now)
-            self.beliefs.apply(report.news, now)
+            self.beliefs.apply(report.updates, now)
             return
         self.leave_mesh()
         if self.relaying.report(member, report, now):
@@ -409,9 +409,9 @@
             self.tell_nodes(due, now)
         if self.choice.relay is None:
             self.loads.told(member.name, report.loads, until)
-        self.beliefs.apply(report.news, now)
+        self.beliefs.apply(report.updates, now)
         if report.subscription_level == messages.WANTS_ALL:
-            self.pass_on(report.news, now)
+            self.pass_on(report.updates, now)
 
     def hear_summary(
         self,
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -198,7 +198,7 @@
     sequence: int
     subscription_level: int
     loads: Amounts
-    news: Updates
+    updates: Updates
     knowledge: Knowledge | None = None
 
 
