--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -219,7 +219,7 @@
     """
 
     sender: Contact
-    number: int
+    sequence: int
     nodes: Count
     between: bool
     sums: LoadDelta
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -74,7 +74,7 @@
         size = 0
         for part in frames.split_summary(summary, self.sealer):
             self.number += 1
-            part.number = self.number
+            part.sequence = self.number
             data = frames.encode(part, self.sealer)
             self.send("summaries", data, receivers)
             size += len(data) * len(receivers)
