--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -220,7 +220,7 @@
 
     sender: Contact
     sequence: int
-    nodes: Count
+    node_count: Count
     between: bool
     sums: LoadDelta
     news: Updates
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -138,7 +138,7 @@
         sources = self.sources.setdefault(member.data_centre, {})
         source = sources.setdefault(member.name, Source(member))
         source.member = member
-        source.nodes = summary.nodes
+        source.nodes = summary.node_count
         source.heard = now
         source.listener.hear(summary.sums, now)
         self.last[member.data_centre] = member
