--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -421,8 +421,8 @@
     ) -> None:
         """Takes in what a relay tells."""
         self.leave_mesh()
-        self.hear_knowledge(member, summary.knowledge, summary.between)
-        if summary.between:
+        self.hear_knowledge(member, summary.knowledge, summary.to_relays)
+        if summary.to_relays:
             self.hear_between(member, summary, now)
             return
         if member.data_centre != self.members.own.data_centre:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -221,7 +221,7 @@
     sender: Contact
     sequence: int
     node_count: Count
-    between: bool
+    to_relays: bool
     sums: LoadDelta
     news: Updates
     knowledge: Knowledge | None = None
