--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -222,7 +222,7 @@
     sequence: int
     node_count: Count
     to_relays: bool
-    sums: LoadDelta
+    load_delta: LoadDelta
     news: Updates
     knowledge: Knowledge | None = None
     members: list[Contact] = []
