--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -65,7 +65,7 @@
 def split_in_half(summary: messages.Summary) -> list[messages.Summary]:
     """Cuts a summary in two; gives nothing where there is little to cut."""
     sums = split_load_delta(summary.load_delta)
-    news = split_updates(summary.news)
+    news = split_updates(summary.updates)
     knowledge = split_knowledge(summary.knowledge)
     halves = [
         msgspec.structs.replace(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -440,7 +440,7 @@
             self.site.amounts(now), self.reports.own_part()
         )
         self.loads.told(relay.data_centre, others, now + loads_module.SILENT)
-        self.beliefs.apply(summary.news, now)
+        self.beliefs.apply(summary.updates, now)
 
     def hear_knowledge(
         self,
@@ -470,8 +470,8 @@
         if best is not None and best.member.name == member.name:
             until = now + loads_module.SILENT
             self.loads.told(data_centre, best.listener.amounts(now), until)
-            self.beliefs.apply(summary.news, now)
-            if self.relaying.for_nodes.add(summary.news, now):
+            self.beliefs.apply(summary.updates, now)
+            if self.relaying.for_nodes.add(summary.updates, now):
                 self.urgent.set()
 
     def pass_on(self, news: messages.Updates, now: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -223,7 +223,7 @@
     node_count: Count
     to_relays: bool
     load_delta: LoadDelta
-    news: Updates
+    updates: Updates
     knowledge: Knowledge | None = None
     members: list[Contact] = []
     apart: bool = False
