--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -226,7 +226,7 @@
     updates: Updates
     knowledge: Knowledge | None = None
     members: list[Contact] = []
-    apart: bool = False
+    partitioned: bool = False
 
 
 class Crashes(msgspec.Struct, array_like=True, tag=3):
