--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -240,7 +240,7 @@
     """
 
     sender: Contact
-    number: int
+    sequence: int
     interrupted: list[Interrupted] = []
     canaries: list[Canary] = []
 
