--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -9,7 +9,7 @@
 
 
 def encode(
-    message: messages.Report | messages.Summary | messages.Crashes,
+    message: messages.Report | messages.Summary | messages.CrashUpdate,
     sealer: seals.Sealer,
 ) -> bytes:
     """Makes one datagram of a message."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -379,7 +379,7 @@
         )
         self.members.observe(member, now)
         self.entries.others.observe(member)
-        if isinstance(message, messages.Crashes):
+        if isinstance(message, messages.CrashUpdate):
             self.crashes.merge_message(message)
         elif isinstance(message, messages.Report):
             self.hear_report(member, message, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -229,7 +229,7 @@
     partitioned: bool = False
 
 
-class Crashes(msgspec.Struct, array_like=True, tag=3):
+class CrashUpdate(msgspec.Struct, array_like=True, tag=3):
     """What one node knows of requests that may crash replicas.
 
     Attributes:
@@ -272,12 +272,12 @@
     suspected: bool = False
 
 
-DECODER = msgspec.msgpack.Decoder(Report | Summary | Crashes)
+DECODER = msgspec.msgpack.Decoder(Report | Summary | CrashUpdate)
 # What decoding raises for bytes that hold no message, or too deep a one.
 UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
-def message(data: bytes) -> Report | Summary | Crashes:
+def message(data: bytes) -> Report | Summary | CrashUpdate:
     """Decodes a peer's message.
 
     Raises:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -92,7 +92,7 @@
             Bytes that were sent.
         """
         self.number += 1
-        message = messages.Crashes(
+        message = messages.CrashUpdate(
             self.contact(), self.number, interrupted, canaries
         )
         data = frames.encode(message, self.sealer)
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -350,7 +350,7 @@
             quarantined_any |= quarantined
         return quarantined_any
 
-    def merge_message(self, message: messages.Crashes) -> None:
+    def merge_message(self, message: messages.CrashUpdate) -> None:
         """Merges the updates sent by another node."""
         suspicions = []
         for one in message.interrupted:
