--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -158,7 +158,7 @@
     context.relaying = relaying.Relaying(sender.members)
     context.summaries = summaries.Summaries(
         context.relaying,
-        mock.Mock(site=lambda now: messages.Amounts({}, {}, {}, {})),
+        mock.Mock(site=lambda now: messages.EngineLoads({}, {}, {}, {})),
         sender,
         mock.Mock(changing_until={}),
         context.bandwidth,
@@ -171,7 +171,7 @@
                 messages.Contact(name, name, "dc"),
                 1,
                 messages.WANTS_ALL,
-                messages.Amounts({}, {}, {}, {}),
+                messages.EngineLoads({}, {}, {}, {}),
                 messages.Updates(),
             ),
             0.0,
--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -132,7 +132,7 @@
         messages.Contact("edge-good-1", "edge-good", "north"),
         1,
         messages.WANTS_NOTHING,
-        messages.Amounts({"i-1/0": 0.5}),
+        messages.EngineLoads({"i-1/0": 0.5}),
         messages.Updates(),
     )
     data = frames.encode(report, context.gossip.sealer)
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -526,7 +526,7 @@
         messages.Contact(f"{name}-1", name, "north"),
         1,
         messages.WANTS_NOTHING,
-        messages.Amounts(),
+        messages.EngineLoads(),
         messages.Updates(),
     )
     return frames.encode(found, seals.Sealer(keys))
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -216,7 +216,7 @@
         messages.Contact("edge-2-1", "edge-2", "north"),
         1,
         messages.WANTS_NOTHING,
-        messages.Amounts(),
+        messages.EngineLoads(),
         messages.Updates(
             closed={ENGINE: 60.0},
             roles={ENGINE: ("prefill", 60.0)},
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -20,7 +20,7 @@
     late: load_deltas.DeltaEncoder
     demand: load_deltas.DeltaEncoder
 
-    def changed(self, amounts: messages.Amounts) -> messages.LoadDelta:
+    def changed(self, amounts: messages.EngineLoads) -> messages.LoadDelta:
         """What is new since the last time, and a part of the rest."""
         return messages.LoadDelta(
             self.prompts.encode(amounts.prompts),
@@ -45,9 +45,9 @@
         self.late.receive(changed.late, now)
         self.demand.receive(changed.demand, now)
 
-    def amounts(self, now: float) -> messages.Amounts:
+    def amounts(self, now: float) -> messages.EngineLoads:
         """The amounts that still count."""
-        return messages.Amounts(
+        return messages.EngineLoads(
             self.prompts.amounts(now),
             self.streams.amounts(now),
             self.late.amounts(now),
@@ -100,21 +100,21 @@
             self.homes.demand.node_totals,
         )
 
-    def own(self, now: float) -> messages.Amounts:
+    def own(self, now: float) -> messages.EngineLoads:
         """What this node itself has."""
-        return messages.Amounts(
+        return messages.EngineLoads(
             rounded(self.homes.waiting.own),
             rounded(self.directory.streams.own),
             rounded(self.homes.late.own),
             rounded(self.homes.demand.own(now)),
         )
 
-    def site(self, now: float) -> messages.Amounts:
+    def site(self, now: float) -> messages.EngineLoads:
         """What all nodes have."""
         demand = self.homes.demand.node_totals.totals(now)
         for service, engines in self.homes.demand.own(now).items():
             demand[service] = demand.get(service, 0.0) + engines
-        return messages.Amounts(
+        return messages.EngineLoads(
             self.homes.waiting.totals(now),
             self.directory.streams.totals(now),
             self.homes.late.totals(now),
@@ -122,7 +122,7 @@
         )
 
     def told(
-        self, source: str, amounts: messages.Amounts, until: float
+        self, source: str, amounts: messages.EngineLoads, until: float
     ) -> None:
         """Replaces what a source said, until it no longer counts."""
         self.homes.waiting.set_remote(source, amounts.prompts, until)
@@ -141,9 +141,9 @@
             known.clear_others()
 
 
-def added(parts: list[messages.Amounts]) -> messages.Amounts:
+def added(parts: list[messages.EngineLoads]) -> messages.EngineLoads:
     """Adds up the work of some nodes."""
-    found = messages.Amounts({}, {}, {}, {})
+    found = messages.EngineLoads({}, {}, {}, {})
     for part in parts:
         add(found.prompts, part.prompts)
         add(found.streams, part.streams)
@@ -159,10 +159,10 @@
 
 
 def without(
-    amounts: messages.Amounts, own: messages.Amounts
-) -> messages.Amounts:
+    amounts: messages.EngineLoads, own: messages.EngineLoads
+) -> messages.EngineLoads:
     """What is left of sums without a node's own part of them."""
-    return messages.Amounts(
+    return messages.EngineLoads(
         load_deltas.subtract(amounts.prompts, own.prompts),
         load_deltas.subtract(amounts.streams, own.streams),
         load_deltas.subtract(amounts.late, own.late),
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -56,7 +56,7 @@
     power: Power = 1.0
 
 
-class Amounts(msgspec.Struct, array_like=True):
+class EngineLoads(msgspec.Struct, array_like=True):
     """Work at engines, of one node.
 
     Attributes:
@@ -197,7 +197,7 @@
     sender: Contact
     sequence: int
     subscription_level: int
-    loads: Amounts
+    loads: EngineLoads
     updates: Updates
     knowledge: Knowledge | None = None
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -28,7 +28,7 @@
 
     def __init__(self, member: members_module.Member):
         self.member = member
-        self.amounts = messages.Amounts({}, {}, {}, {})
+        self.amounts = messages.EngineLoads({}, {}, {}, {})
         self.wants = messages.WANTS_NOTICE
         self.heard = 0.0
         self.told = 0.0
@@ -121,7 +121,7 @@
                 signs.append(subscriber)
         return Due(everything, signs)
 
-    def sums(self, own: messages.Amounts) -> messages.Amounts:
+    def sums(self, own: messages.EngineLoads) -> messages.EngineLoads:
         """The work of all nodes of this data centre."""
         parts = [own]
         for subscriber in self.subscribers.values():
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -38,7 +38,7 @@
         self.relays = relays
         self.loads = loads
         self.sender = sender
-        self.sent: list[tuple[float, messages.Amounts]] = []
+        self.sent: list[tuple[float, messages.EngineLoads]] = []
         self.told_at = -math.inf
         self.told_state = (0, 0)
 
@@ -100,11 +100,11 @@
         while len(self.sent) > 1 and now - self.sent[1][0] > UNDER_WAY:
             del self.sent[0]
 
-    def own_part(self) -> messages.Amounts:
+    def own_part(self) -> messages.EngineLoads:
         """What the relay's sums have of this node by now."""
         if self.sent:
             return self.sent[0][1]
-        return messages.Amounts({}, {}, {}, {})
+        return messages.EngineLoads({}, {}, {}, {})
 
     def send(
         self,
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -42,7 +42,7 @@
         self,
         receivers: list[members_module.Member],
         wants: int,
-        amounts: messages.Amounts,
+        amounts: messages.EngineLoads,
         news: messages.Updates,
         knowledge: messages.Knowledge | None = None,
     ) -> None:
