--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -131,7 +131,7 @@
     report = messages.Report(
         messages.Contact("edge-good-1", "edge-good", "north"),
         1,
-        messages.WANTS_NOTHING,
+        messages.SUBSCRIBE_NONE,
         messages.EngineLoads({"i-1/0": 0.5}),
         messages.Updates(),
     )
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -525,7 +525,7 @@
     found = messages.Report(
         messages.Contact(f"{name}-1", name, "north"),
         1,
-        messages.WANTS_NOTHING,
+        messages.SUBSCRIBE_NONE,
         messages.EngineLoads(),
         messages.Updates(),
     )
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -215,7 +215,7 @@
     report = messages.Report(
         messages.Contact("edge-2-1", "edge-2", "north"),
         1,
-        messages.WANTS_NOTHING,
+        messages.SUBSCRIBE_NONE,
         messages.EngineLoads(),
         messages.Updates(
             closed={ENGINE: 60.0},
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -394,7 +394,7 @@
     ) -> None:
         """Takes in what one node says of itself."""
         until = now + loads_module.SILENT
-        if report.subscription_level == messages.WANTS_NOTHING:
+        if report.subscription_level == messages.SUBSCRIBE_NONE:
             if self.meshed:
                 self.loads.told(member.name, report.loads, until)
                 self.hear_knowledge(member, report.knowledge, True)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -54,7 +54,7 @@
         """
         self.sender.report(
             list(self.members.known.values()),
-            messages.WANTS_NOTHING,
+            messages.SUBSCRIBE_NONE,
             self.loads.own(now),
             news,
             self.read_lately(knowledge, now),
