--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -248,7 +248,7 @@
 # What a report asks for: nothing (its sender tells everybody), nothing but to
 # be known, a sign of life once a second, or all that there is.
 SUBSCRIBE_NONE = 0
-WANTS_NOTICE = 1
+SUBSCRIBE_PRESENCE = 1
 WANTS_SIGNS = 2
 WANTS_ALL = 3
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -29,7 +29,7 @@
     def __init__(self, member: members_module.Member):
         self.member = member
         self.amounts = messages.EngineLoads({}, {}, {}, {})
-        self.wants = messages.WANTS_NOTICE
+        self.wants = messages.SUBSCRIBE_PRESENCE
         self.heard = 0.0
         self.told = 0.0
 
@@ -86,9 +86,11 @@
             self.subscribers[member.name] = found
         found.member = member
         found.amounts = report.loads
-        found.wants = max(report.subscription_level, messages.WANTS_NOTICE)
+        found.wants = max(
+            report.subscription_level, messages.SUBSCRIBE_PRESENCE
+        )
         found.heard = now
-        return new and report.subscription_level != messages.WANTS_NOTICE
+        return new and report.subscription_level != messages.SUBSCRIBE_PRESENCE
 
     def greet(self, member: members_module.Member, now: float) -> None:
         """Notes a node that tells everybody by itself; it gets a sign."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -92,7 +92,9 @@
         ranked = self.members.ranked(self.members.own.data_centre)
         place = ranked.index(self.members.own)
         next_ones = ranked[place + 1 : place + 1 + relays_module.MAX_ASKED]
-        self.send(next_ones, messages.WANTS_NOTICE, messages.Updates(), now)
+        self.send(
+            next_ones, messages.SUBSCRIBE_PRESENCE, messages.Updates(), now
+        )
 
     def remember(self, now: float) -> None:
         """Keeps what was reported, to be taken out of the relay's sums."""
