--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -249,7 +249,7 @@
 # be known, a sign of life once a second, or all that there is.
 SUBSCRIBE_NONE = 0
 SUBSCRIBE_PRESENCE = 1
-WANTS_SIGNS = 2
+SUBSCRIBE_HEARTBEATS = 2
 WANTS_ALL = 3
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -95,7 +95,7 @@
     def greet(self, member: members_module.Member, now: float) -> None:
         """Notes a node that tells everybody by itself; it gets a sign."""
         found = self.subscribers.setdefault(member.name, Subscriber(member))
-        found.wants = messages.WANTS_SIGNS
+        found.wants = messages.SUBSCRIBE_HEARTBEATS
         found.heard = now
 
     def expire(self, now: float) -> None:
@@ -116,7 +116,7 @@
             if subscriber.wants == messages.WANTS_ALL:
                 everything.append(subscriber)
                 continue
-            if subscriber.wants != messages.WANTS_SIGNS:
+            if subscriber.wants != messages.SUBSCRIBE_HEARTBEATS:
                 continue
             if now - subscriber.told >= SIGNS:
                 subscriber.told = now
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -84,11 +84,13 @@
         others = list(choice.asked)
         if choice.standby is not None:
             others.append(choice.standby)
-        self.send(others, messages.WANTS_SIGNS, news, now)
+        self.send(others, messages.SUBSCRIBE_HEARTBEATS, news, now)
 
     def notice(self, choice: relays_module.Choice, now: float) -> None:
         """Makes this node known to those that could relay as well."""
-        self.send(choice.asked, messages.WANTS_SIGNS, messages.Updates(), now)
+        self.send(
+            choice.asked, messages.SUBSCRIBE_HEARTBEATS, messages.Updates(), now
+        )
         ranked = self.members.ranked(self.members.own.data_centre)
         place = ranked.index(self.members.own)
         next_ones = ranked[place + 1 : place + 1 + relays_module.MAX_ASKED]
@@ -117,7 +119,7 @@
     ) -> None:
         """Sends a report, and notes who is asked for an answer by it."""
         self.sender.report(receivers, wants, self.loads.own(now), news)
-        if wants < messages.WANTS_SIGNS:
+        if wants < messages.SUBSCRIBE_HEARTBEATS:
             return
         for member in receivers:
             self.relays.record_question(member.name, now)
