--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -170,7 +170,7 @@
             messages.Report(
                 messages.Contact(name, name, "dc"),
                 1,
-                messages.WANTS_ALL,
+                messages.SUBSCRIBE_ALL,
                 messages.EngineLoads({}, {}, {}, {}),
                 messages.Updates(),
             ),
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -410,7 +410,7 @@
         if self.choice.relay is None:
             self.loads.told(member.name, report.loads, until)
         self.beliefs.apply(report.updates, now)
-        if report.subscription_level == messages.WANTS_ALL:
+        if report.subscription_level == messages.SUBSCRIBE_ALL:
             self.pass_on(report.updates, now)
 
     def hear_summary(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -250,7 +250,7 @@
 SUBSCRIBE_NONE = 0
 SUBSCRIBE_PRESENCE = 1
 SUBSCRIBE_HEARTBEATS = 2
-WANTS_ALL = 3
+SUBSCRIBE_ALL = 3
 
 
 class Entry(msgspec.Struct):
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -113,7 +113,7 @@
         everything = []
         signs = []
         for subscriber in self.subscribers.values():
-            if subscriber.wants == messages.WANTS_ALL:
+            if subscriber.wants == messages.SUBSCRIBE_ALL:
                 everything.append(subscriber)
                 continue
             if subscriber.wants != messages.SUBSCRIBE_HEARTBEATS:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -80,7 +80,7 @@
     ) -> None:
         """Tells the relay, and those that could be it, what this node has."""
         self.remember(now)
-        self.send([choice.relay], messages.WANTS_ALL, news, now)
+        self.send([choice.relay], messages.SUBSCRIBE_ALL, news, now)
         others = list(choice.asked)
         if choice.standby is not None:
             others.append(choice.standby)
