--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -274,7 +274,7 @@
 
 DECODER = msgspec.msgpack.Decoder(Report | Summary | CrashUpdate)
 # What decoding raises for bytes that hold no message, or too deep a one.
-UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
 def message(data: bytes) -> Report | Summary | CrashUpdate:
@@ -285,7 +285,7 @@
     """
     try:
         return DECODER.decode(data)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise exceptions.RecordInvalid(str(error)) from error
 
 
@@ -299,7 +299,7 @@
     """
     try:
         found = msgspec.json.decode(value, type=Entry)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise exceptions.RecordInvalid(str(error)) from error
     socket_address(found.address)
     return found
