--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -204,7 +204,7 @@
 def step_named(context, few, most, milliseconds):
     named = {}
     for data in context.sent:
-        summary = messages.message(seals.Sealer([]).open(data))
+        summary = messages.decode_message(seals.Sealer([]).open(data))
         for placed in summary.updates.placements:
             named[tuple(placed.prefix_hashes)] = placed.tokens[0]
     valuable = [tokens for tokens in named.values() if tokens == context.shared]
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -358,7 +358,7 @@
         try:
             if len(data) > messages.MAX_DATAGRAM_BYTES:
                 raise exceptions.RecordInvalid(f"{len(data)} bytes: too many")
-            message = messages.message(self.sealer.open(data))
+            message = messages.decode_message(self.sealer.open(data))
         except exceptions.RecordInvalid as error:
             events.log(events.FRAME_REFUSED, reason=str(error))
             return
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -277,7 +277,7 @@
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
-def message(data: bytes) -> Report | Summary | CrashUpdate:
+def decode_message(data: bytes) -> Report | Summary | CrashUpdate:
     """Decodes a peer's message.
 
     Raises:
