--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -111,7 +111,7 @@
                 self.apply_removal(record.key)
                 continue
             try:
-                entry = messages.entry(record.value)
+                entry = messages.decode_entry(record.value)
             except exceptions.RecordInvalid as error:
                 events.log(
                     events.RECORD_SKIPPED, key=record.key, reason=str(error)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -289,7 +289,7 @@
         raise exceptions.RecordInvalid(str(error)) from error
 
 
-def entry(value: bytes) -> Entry:
+def decode_entry(value: bytes) -> Entry:
     """Decodes a node's record in the store.
 
     Sending to anything that is no address fails for all peers after it.
