--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -132,7 +132,7 @@
             entry.member or node,
             node,
             entry.data_centre,
-            messages.socket_address(entry.address),
+            messages.parse_socket_address(entry.address),
             entry.power,
         )
         self.others.put(member, entry.suspected, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -86,7 +86,7 @@
             self.member,
             node.name,
             node.data_centre,
-            messages.socket_address(self.address),
+            messages.parse_socket_address(self.address),
             node.relay_capacity,
         )
         self.members = members_module.Members(own)
@@ -484,7 +484,7 @@
         """Takes in the nodes that a relay introduces."""
         for contact in contacts:
             try:
-                address = messages.socket_address(contact.address)
+                address = messages.parse_socket_address(contact.address)
             except exceptions.RecordInvalid as error:
                 events.log(events.FRAME_REFUSED, reason=str(error))
                 continue
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -301,11 +301,11 @@
         found = msgspec.json.decode(value, type=Entry)
     except DECODE_ERRORS as error:
         raise exceptions.RecordInvalid(str(error)) from error
-    socket_address(found.address)
+    parse_socket_address(found.address)
     return found
 
 
-def socket_address(text: str) -> tuple[str, int]:
+def parse_socket_address(text: str) -> tuple[str, int]:
     """Decodes IP:PORT.
 
     Raises:
