--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -324,7 +324,7 @@
         self.site = loads_module.listener()
         self.noticed = -math.inf
         if relay is None:
-            until = now + loads_module.SILENT
+            until = now + loads_module.EXPIRY_SECONDS
             for subscriber in self.relaying.subscribers.values():
                 self.loads.told(
                     subscriber.member.name, subscriber.amounts, until
@@ -393,7 +393,7 @@
         now: float,
     ) -> None:
         """Takes in what one node says of itself."""
-        until = now + loads_module.SILENT
+        until = now + loads_module.EXPIRY_SECONDS
         if report.subscription_level == messages.SUBSCRIBE_NONE:
             if self.meshed:
                 self.loads.told(member.name, report.loads, until)
@@ -439,7 +439,9 @@
         others = loads_module.without(
             self.site.amounts(now), self.reports.own_part()
         )
-        self.loads.told(relay.data_centre, others, now + loads_module.SILENT)
+        self.loads.told(
+            relay.data_centre, others, now + loads_module.EXPIRY_SECONDS
+        )
         self.beliefs.apply(summary.updates, now)
 
     def hear_knowledge(
@@ -468,7 +470,7 @@
             return
         best = self.relaying.best(data_centre)
         if best is not None and best.member.name == member.name:
-            until = now + loads_module.SILENT
+            until = now + loads_module.EXPIRY_SECONDS
             self.loads.told(data_centre, best.listener.amounts(now), until)
             self.beliefs.apply(summary.updates, now)
             if self.relaying.for_nodes.add(summary.updates, now):
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -9,7 +9,7 @@
 from gypsumfold.gateway.peers import messages
 
 # Seconds after which what a silent node said no longer counts.
-SILENT = 3.0
+EXPIRY_SECONDS = 3.0
 
 
 class Teller(NamedTuple):
