--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -20,7 +20,7 @@
     late: load_deltas.DeltaEncoder
     demand: load_deltas.DeltaEncoder
 
-    def changed(self, amounts: messages.EngineLoads) -> messages.LoadDelta:
+    def encode(self, amounts: messages.EngineLoads) -> messages.LoadDelta:
         """What is new since the last time, and a part of the rest."""
         return messages.LoadDelta(
             self.prompts.encode(amounts.prompts),
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -98,7 +98,7 @@
                 self.sender.number,
                 nodes,
                 False,
-                self.for_nodes.changed(self.loads.site(now)),
+                self.for_nodes.encode(self.loads.site(now)),
                 self.relaying.for_nodes.take(
                     now, self.most_placed(len(due.everything), now)
                 ),
@@ -120,7 +120,7 @@
             self.sender.number,
             1 + len(self.relaying.subscribers),
             True,
-            self.for_relays.changed(sums),
+            self.for_relays.encode(sums),
             self.relaying.for_relays.take(
                 now, self.most_placed(len(targets), now)
             ),
