--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -435,7 +435,7 @@
         if relay is None or member.name != relay.name:
             return
         self.census.receive(summary.node_count, summary.partitioned, now)
-        self.site.hear(summary.load_delta, now)
+        self.site.receive(summary.load_delta, now)
         others = loads_module.without(
             self.site.amounts(now), self.reports.own_part()
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -38,7 +38,7 @@
     late: load_deltas.DeltaDecoder
     demand: load_deltas.DeltaDecoder
 
-    def hear(self, changed: messages.LoadDelta, now: float) -> None:
+    def receive(self, changed: messages.LoadDelta, now: float) -> None:
         """Takes in what the teller told."""
         self.prompts.receive(changed.prompts, now)
         self.streams.receive(changed.streams, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -142,7 +142,7 @@
         source.member = member
         source.nodes = summary.node_count
         source.heard = now
-        source.listener.hear(summary.load_delta, now)
+        source.listener.receive(summary.load_delta, now)
         self.last[member.data_centre] = member
 
     def best(self, data_centre: str) -> Source | None:
