--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -437,7 +437,7 @@
         self.census.receive(summary.node_count, summary.partitioned, now)
         self.site.receive(summary.load_delta, now)
         others = loads_module.without(
-            self.site.amounts(now), self.reports.own_part()
+            self.site.loads(now), self.reports.own_part()
         )
         self.loads.told(
             relay.data_centre, others, now + loads_module.EXPIRY_SECONDS
@@ -471,7 +471,7 @@
         best = self.relaying.best(data_centre)
         if best is not None and best.member.name == member.name:
             until = now + loads_module.EXPIRY_SECONDS
-            self.loads.told(data_centre, best.listener.amounts(now), until)
+            self.loads.told(data_centre, best.listener.loads(now), until)
             self.beliefs.apply(summary.updates, now)
             if self.relaying.for_nodes.add(summary.updates, now):
                 self.urgent.set()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -45,7 +45,7 @@
         self.late.receive(changed.late, now)
         self.demand.receive(changed.demand, now)
 
-    def amounts(self, now: float) -> messages.EngineLoads:
+    def loads(self, now: float) -> messages.EngineLoads:
         """The amounts that still count."""
         return messages.EngineLoads(
             self.prompts.amounts(now),
