--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -55,7 +55,7 @@
         )
 
 
-def teller() -> Teller:
+def new_encoder() -> Teller:
     """Makes one that has told nothing."""
     return Teller(
         load_deltas.DeltaEncoder(),
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -56,8 +56,8 @@
         self.sender = sender
         self.directory = directory
         self.knowledge: Knowledge | None = None
-        self.for_nodes = loads_module.teller()
-        self.for_relays = loads_module.teller()
+        self.for_nodes = loads_module.new_encoder()
+        self.for_relays = loads_module.new_encoder()
         self.count = 0
 
     def tell_nodes(
