--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -136,7 +136,7 @@
         self.again = False
         self.choice = relays_module.Choice(None, None, [])
         self.numbers: dict[str, int] = {}
-        self.site = loads_module.listener()
+        self.site = loads_module.new_decoder()
         self.noticed = -math.inf
         self.changed = asyncio.Event()
         self.urgent = asyncio.Event()
@@ -321,7 +321,7 @@
             known=len(self.members.known),
         )
         self.loads.clear()
-        self.site = loads_module.listener()
+        self.site = loads_module.new_decoder()
         self.noticed = -math.inf
         if relay is None:
             until = now + loads_module.EXPIRY_SECONDS
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -65,7 +65,7 @@
     )
 
 
-def listener() -> Listener:
+def new_decoder() -> Listener:
     """Makes one that has heard nothing."""
     return Listener(
         load_deltas.DeltaDecoder(),
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -39,7 +39,7 @@
 
     def __init__(self, member: members_module.Member):
         self.member = member
-        self.listener = loads_module.listener()
+        self.listener = loads_module.new_decoder()
         self.nodes = 0
         self.heard = 0.0
 
