--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -12,7 +12,7 @@
 EXPIRY_SECONDS = 3.0
 
 
-class Teller(NamedTuple):
+class LoadDeltaEncoder(NamedTuple):
     """What is to be told of each sort of work."""
 
     prompts: load_deltas.DeltaEncoder
@@ -55,9 +55,9 @@
         )
 
 
-def new_encoder() -> Teller:
+def new_encoder() -> LoadDeltaEncoder:
     """Makes one that has told nothing."""
-    return Teller(
+    return LoadDeltaEncoder(
         load_deltas.DeltaEncoder(),
         load_deltas.DeltaEncoder(),
         load_deltas.DeltaEncoder(),
