--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -30,7 +30,7 @@
         )
 
 
-class Listener(NamedTuple):
+class LoadDeltaDecoder(NamedTuple):
     """What one teller has told of each sort of work."""
 
     prompts: load_deltas.DeltaDecoder
@@ -65,9 +65,9 @@
     )
 
 
-def new_decoder() -> Listener:
+def new_decoder() -> LoadDeltaDecoder:
     """Makes one that has heard nothing."""
-    return Listener(
+    return LoadDeltaDecoder(
         load_deltas.DeltaDecoder(),
         load_deltas.DeltaDecoder(),
         load_deltas.DeltaDecoder(),
