--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -91,7 +91,7 @@
         self.homes = homes
         self.directory = directory
 
-    def sorts(self) -> tuple[cluster_totals.ClusterTotals, ...]:
+    def totals_by_kind(self) -> tuple[cluster_totals.ClusterTotals, ...]:
         """The sums of each sort of work, in the order of `Amounts`."""
         return (
             self.homes.waiting,
@@ -132,12 +132,12 @@
 
     def drop(self, source: str) -> None:
         """Drops what a source said."""
-        for known in self.sorts():
+        for known in self.totals_by_kind():
             known.drop_node(source)
 
     def clear(self) -> None:
         """Drops what all others said."""
-        for known in self.sorts():
+        for known in self.totals_by_kind():
             known.clear_others()
 
 
