--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -109,7 +109,7 @@
             rounded(self.homes.demand.own(now)),
         )
 
-    def site(self, now: float) -> messages.EngineLoads:
+    def site_totals(self, now: float) -> messages.EngineLoads:
         """What all nodes have."""
         demand = self.homes.demand.node_totals.totals(now)
         for service, engines in self.homes.demand.own(now).items():
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -98,7 +98,7 @@
                 self.sender.number,
                 nodes,
                 False,
-                self.for_nodes.encode(self.loads.site(now)),
+                self.for_nodes.encode(self.loads.site_totals(now)),
                 self.relaying.for_nodes.take(
                     now, self.most_placed(len(due.everything), now)
                 ),
