--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -326,7 +326,7 @@
         if relay is None:
             until = now + loads_module.EXPIRY_SECONDS
             for subscriber in self.relaying.subscribers.values():
-                self.loads.told(
+                self.loads.set_remote(
                     subscriber.member.name, subscriber.amounts, until
                 )
         self.report(now)
@@ -396,7 +396,7 @@
         until = now + loads_module.EXPIRY_SECONDS
         if report.subscription_level == messages.SUBSCRIBE_NONE:
             if self.meshed:
-                self.loads.told(member.name, report.loads, until)
+                self.loads.set_remote(member.name, report.loads, until)
                 self.hear_knowledge(member, report.knowledge, True)
             else:
                 self.relaying.greet(member, now)
@@ -408,7 +408,7 @@
             due = self.relaying.due(now)
             self.tell_nodes(due, now)
         if self.choice.relay is None:
-            self.loads.told(member.name, report.loads, until)
+            self.loads.set_remote(member.name, report.loads, until)
         self.beliefs.apply(report.updates, now)
         if report.subscription_level == messages.SUBSCRIBE_ALL:
             self.pass_on(report.updates, now)
@@ -439,7 +439,7 @@
         others = loads_module.without(
             self.site.loads(now), self.reports.own_part()
         )
-        self.loads.told(
+        self.loads.set_remote(
             relay.data_centre, others, now + loads_module.EXPIRY_SECONDS
         )
         self.beliefs.apply(summary.updates, now)
@@ -471,7 +471,7 @@
         best = self.relaying.best(data_centre)
         if best is not None and best.member.name == member.name:
             until = now + loads_module.EXPIRY_SECONDS
-            self.loads.told(data_centre, best.listener.loads(now), until)
+            self.loads.set_remote(data_centre, best.listener.loads(now), until)
             self.beliefs.apply(summary.updates, now)
             if self.relaying.for_nodes.add(summary.updates, now):
                 self.urgent.set()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -121,7 +121,7 @@
             demand,
         )
 
-    def told(
+    def set_remote(
         self, source: str, amounts: messages.EngineLoads, until: float
     ) -> None:
         """Replaces what a source said, until it no longer counts."""
