--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -320,7 +320,7 @@
             before=before.node if before else self.members.own.node,
             known=len(self.members.known),
         )
-        self.loads.clear()
+        self.loads.clear_remote()
         self.site = loads_module.new_decoder()
         self.noticed = -math.inf
         if relay is None:
@@ -336,7 +336,7 @@
         if not self.meshed:
             return
         self.meshed = False
-        self.loads.clear()
+        self.loads.clear_remote()
         self.choose(self.clock())
 
     def tell(self, now: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -135,7 +135,7 @@
         for known in self.totals_by_kind():
             known.drop_node(source)
 
-    def clear(self) -> None:
+    def clear_remote(self) -> None:
         """Drops what all others said."""
         for known in self.totals_by_kind():
             known.clear_others()
