--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -141,7 +141,7 @@
             known.clear_others()
 
 
-def added(parts: list[messages.EngineLoads]) -> messages.EngineLoads:
+def total(parts: list[messages.EngineLoads]) -> messages.EngineLoads:
     """Adds up the work of some nodes."""
     found = messages.EngineLoads({}, {}, {}, {})
     for part in parts:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -128,7 +128,7 @@
         parts = [own]
         for subscriber in self.subscribers.values():
             parts.append(subscriber.amounts)
-        return loads_module.added(parts)
+        return loads_module.total(parts)
 
     def hear(
         self,
