--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -145,14 +145,14 @@
     """Adds up the work of some nodes."""
     found = messages.EngineLoads({}, {}, {}, {})
     for part in parts:
-        add(found.prompts, part.prompts)
-        add(found.streams, part.streams)
-        add(found.late, part.late)
-        add(found.demand, part.demand)
+        add_to(found.prompts, part.prompts)
+        add_to(found.streams, part.streams)
+        add_to(found.late, part.late)
+        add_to(found.demand, part.demand)
     return found
 
 
-def add(total: dict[str, float], part: dict[str, float]) -> None:
+def add_to(total: dict[str, float], part: dict[str, float]) -> None:
     """Adds amounts to a total."""
     for key, amount in part.items():
         total[key] = total.get(key, 0.0) + amount
