--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -436,7 +436,7 @@
             return
         self.census.receive(summary.node_count, summary.partitioned, now)
         self.site.receive(summary.load_delta, now)
-        others = loads_module.without(
+        others = loads_module.subtract(
             self.site.loads(now), self.reports.own_part()
         )
         self.loads.set_remote(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -158,7 +158,7 @@
         total[key] = total.get(key, 0.0) + amount
 
 
-def without(
+def subtract(
     amounts: messages.EngineLoads, own: messages.EngineLoads
 ) -> messages.EngineLoads:
     """What is left of sums without a node's own part of them."""
