--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -5,7 +5,7 @@
 from gypsumfold.gateway.peers import messages
 
 # Prompts that wait to be told; of more the newest are told.
-MOST_PLACED = 256
+MAX_PLACEMENTS = 256
 
 
 class Outbox:
@@ -27,7 +27,7 @@
     def place(self, placed: messages.Placement) -> None:
         """Notes that a prompt was sent to an engine."""
         self.placed.append(placed)
-        del self.placed[:-MOST_PLACED]
+        del self.placed[:-MAX_PLACEMENTS]
 
     def not_reached(self, instance: str) -> None:
         """Notes that a replica could not be reached."""
@@ -88,7 +88,7 @@
             self.not_reached(instance)
         return urgent
 
-    def take(self, now: float, most: int = MOST_PLACED) -> messages.Updates:
+    def take(self, now: float, most: int = MAX_PLACEMENTS) -> messages.Updates:
         """What is to be told now.
 
         Args:
