--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -18,7 +18,7 @@
     """
 
     def __init__(self):
-        self.placed: list[messages.Placement] = []
+        self.placements: list[messages.Placement] = []
         self.unreachable: list[str] = []
         self.closings: dict[str, float] = {}
         self.roles: dict[str, tuple[str, float]] = {}
@@ -26,8 +26,8 @@
 
     def place(self, placed: messages.Placement) -> None:
         """Notes that a prompt was sent to an engine."""
-        self.placed.append(placed)
-        del self.placed[:-MAX_PLACEMENTS]
+        self.placements.append(placed)
+        del self.placements[:-MAX_PLACEMENTS]
 
     def not_reached(self, instance: str) -> None:
         """Notes that a replica could not be reached."""
@@ -96,7 +96,7 @@
             most: Prompts at most; those with the most tokens that others may
                 share are told, the rest is not.
         """
-        placed, self.placed = self.placed, []
+        placed, self.placements = self.placements, []
         if len(placed) > most:
             placed.sort(key=shareable, reverse=True)
             del placed[most:]
