--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -22,7 +22,7 @@
         self.unreachable: list[str] = []
         self.closings: dict[str, float] = {}
         self.roles: dict[str, tuple[str, float]] = {}
-        self.births: dict[str, int] = {}
+        self.start_times: dict[str, int] = {}
 
     def place(self, placed: messages.Placement) -> None:
         """Notes that a prompt was sent to an engine."""
@@ -46,7 +46,7 @@
         news = engine not in self.closings
         self.closings[engine] = until
         self.roles.pop(engine, None)
-        self.births[engine] = born
+        self.start_times[engine] = born
         return news
 
     def confirm(
@@ -55,13 +55,13 @@
         """Notes that an engine has its new role."""
         self.roles[engine] = (role, until)
         self.closings.pop(engine, None)
-        self.births[engine] = born
+        self.start_times[engine] = born
 
     def forget(self, engine: str) -> None:
         """Says no more of an engine that is gone or has started again."""
         self.closings.pop(engine, None)
         self.roles.pop(engine, None)
-        self.births.pop(engine, None)
+        self.start_times.pop(engine, None)
 
     def keep_closed(self, changing: Container[str]) -> None:
         """Says no more of closings whose end has been seen elsewhere."""
@@ -114,7 +114,7 @@
                 continue
             roles[engine] = (role, round(until - now, 3))
         births = {}
-        for engine, born in self.births.items():
+        for engine, born in self.start_times.items():
             if born:
                 births[engine] = born
         return messages.Updates(placed, closed, roles, unreachable, births)
