--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -189,7 +189,7 @@
 
     def sent(self, engine: str, links: list[int], tokens: list[int]) -> None:
         """Notes that this node sent a prompt to an engine."""
-        self.outbox.place(messages.Placement(engine, links, tokens))
+        self.outbox.add_placement(messages.Placement(engine, links, tokens))
         self.changed.set()
 
     def not_reached(self, instance: str) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -24,7 +24,7 @@
         self.roles: dict[str, tuple[str, float]] = {}
         self.start_times: dict[str, int] = {}
 
-    def place(self, placed: messages.Placement) -> None:
+    def add_placement(self, placed: messages.Placement) -> None:
         """Notes that a prompt was sent to an engine."""
         self.placements.append(placed)
         del self.placements[:-MAX_PLACEMENTS]
@@ -77,7 +77,7 @@
         """
         urgent = False
         for placed in news.placements:
-            self.place(placed)
+            self.add_placement(placed)
         for engine, seconds in news.closed.items():
             born = news.start_times.get(engine, 0)
             urgent |= self.close(engine, now + seconds, born)
