--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -194,7 +194,7 @@
 
     def not_reached(self, instance: str) -> None:
         """Lets the other nodes look after a replica as well."""
-        self.outbox.not_reached(instance)
+        self.outbox.add_unreachable(instance)
         self.changed.set()
 
     def forget(self, replica: types.Replica) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -29,7 +29,7 @@
         self.placements.append(placed)
         del self.placements[:-MAX_PLACEMENTS]
 
-    def not_reached(self, instance: str) -> None:
+    def add_unreachable(self, instance: str) -> None:
         """Notes that a replica could not be reached."""
         if instance not in self.unreachable:
             self.unreachable.append(instance)
@@ -85,7 +85,7 @@
             born = news.start_times.get(engine, 0)
             self.confirm(engine, role, now + seconds, born)
         for instance in news.unreachable:
-            self.not_reached(instance)
+            self.add_unreachable(instance)
         return urgent
 
     def take(self, now: float, most: int = MAX_PLACEMENTS) -> messages.Updates:
