--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -34,7 +34,7 @@
         if instance not in self.unreachable:
             self.unreachable.append(instance)
 
-    def close(self, engine: str, until: float, born: int = 0) -> bool:
+    def close(self, engine: str, until: float, started_at: int = 0) -> bool:
         """Notes that an engine gets no work while it changes its role.
 
         What was said of its last role holds no more: received after this, it
@@ -46,7 +46,7 @@
         news = engine not in self.closings
         self.closings[engine] = until
         self.roles.pop(engine, None)
-        self.start_times[engine] = born
+        self.start_times[engine] = started_at
         return news
 
     def confirm(
