--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -50,12 +50,12 @@
         return news
 
     def confirm(
-        self, engine: str, role: str, until: float, born: int = 0
+        self, engine: str, role: str, until: float, started_at: int = 0
     ) -> None:
         """Notes that an engine has its new role."""
         self.roles[engine] = (role, until)
         self.closings.pop(engine, None)
-        self.start_times[engine] = born
+        self.start_times[engine] = started_at
 
     def forget(self, engine: str) -> None:
         """Says no more of an engine that is gone or has started again."""
