--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -217,7 +217,7 @@
     def closed(self, engine: str, seconds: float) -> None:
         """Tells all nodes that an engine gets no work for a while."""
         until = self.clock() + seconds
-        if self.outbox.close(engine, until, self.born(engine)):
+        if self.outbox.add_closing(engine, until, self.born(engine)):
             self.urgent.set()
         self.changed.set()
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -34,7 +34,9 @@
         if instance not in self.unreachable:
             self.unreachable.append(instance)
 
-    def close(self, engine: str, until: float, started_at: int = 0) -> bool:
+    def add_closing(
+        self, engine: str, until: float, started_at: int = 0
+    ) -> bool:
         """Notes that an engine gets no work while it changes its role.
 
         What was said of its last role holds no more: received after this, it
@@ -80,7 +82,7 @@
             self.add_placement(placed)
         for engine, seconds in news.closed.items():
             born = news.start_times.get(engine, 0)
-            urgent |= self.close(engine, now + seconds, born)
+            urgent |= self.add_closing(engine, now + seconds, born)
         for engine, (role, seconds) in news.roles.items():
             born = news.start_times.get(engine, 0)
             self.confirm(engine, role, now + seconds, born)
