--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -226,7 +226,7 @@
     ) -> None:
         """Notes that an engine has its new role."""
         until = self.clock() + seconds
-        self.outbox.confirm(engine, role.value, until, self.born(engine))
+        self.outbox.add_role(engine, role.value, until, self.born(engine))
         self.changed.set()
 
     def born(self, engine: str) -> int:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -51,7 +51,7 @@
         self.start_times[engine] = started_at
         return news
 
-    def confirm(
+    def add_role(
         self, engine: str, role: str, until: float, started_at: int = 0
     ) -> None:
         """Notes that an engine has its new role."""
@@ -85,7 +85,7 @@
             urgent |= self.add_closing(engine, now + seconds, born)
         for engine, (role, seconds) in news.roles.items():
             born = news.start_times.get(engine, 0)
-            self.confirm(engine, role, now + seconds, born)
+            self.add_role(engine, role, now + seconds, born)
         for instance in news.unreachable:
             self.add_unreachable(instance)
         return urgent
