--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -300,7 +300,7 @@
 
     def news(self, now: float) -> messages.Updates:
         """This node's own news, to be told once."""
-        self.outbox.keep_closed(self.directory.changing_until)
+        self.outbox.retain_closings(self.directory.changing_until)
         return self.outbox.take(now)
 
     def choose(self, now: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -65,7 +65,7 @@
         self.roles.pop(engine, None)
         self.start_times.pop(engine, None)
 
-    def keep_closed(self, changing: Container[str]) -> None:
+    def retain_closings(self, changing: Container[str]) -> None:
         """Says no more of closings whose end has been seen elsewhere."""
         for engine in list(self.closings):
             if engine not in changing:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -92,7 +92,9 @@
             )
             self.send(sign, [one.member for one in due.signs], now)
         if due.everything:
-            self.relaying.for_nodes.keep_closed(self.directory.changing_until)
+            self.relaying.for_nodes.retain_closings(
+                self.directory.changing_until
+            )
             summary = messages.Summary(
                 self.sender.contact(),
                 self.sender.number,
@@ -113,7 +115,7 @@
         targets = self.relaying.targets(now)
         if not targets:
             return
-        self.relaying.for_relays.keep_closed(self.directory.changing_until)
+        self.relaying.for_relays.retain_closings(self.directory.changing_until)
         sums = self.relaying.sums(self.loads.own(now))
         summary = messages.Summary(
             self.sender.contact(),
