--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -71,7 +71,7 @@
             if engine not in changing:
                 self.forget(engine)
 
-    def add(self, news: messages.Updates, now: float) -> bool:
+    def add_updates(self, news: messages.Updates, now: float) -> bool:
         """Passes on what another node tells.
 
         Returns:
