--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -90,7 +90,9 @@
             self.add_unreachable(instance)
         return urgent
 
-    def take(self, now: float, most: int = MAX_PLACEMENTS) -> messages.Updates:
+    def take(
+        self, now: float, max_placements: int = MAX_PLACEMENTS
+    ) -> messages.Updates:
         """What is to be told now.
 
         Args:
@@ -99,9 +101,9 @@
                 share are told, the rest is not.
         """
         placed, self.placements = self.placements, []
-        if len(placed) > most:
+        if len(placed) > max_placements:
             placed.sort(key=shareable, reverse=True)
-            del placed[most:]
+            del placed[max_placements:]
         unreachable, self.unreachable = self.unreachable, []
         closed = {}
         for engine, until in list(self.closings.items()):
