--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -102,7 +102,7 @@
         """
         placed, self.placements = self.placements, []
         if len(placed) > max_placements:
-            placed.sort(key=shareable, reverse=True)
+            placed.sort(key=shareable_tokens, reverse=True)
             del placed[max_placements:]
         unreachable, self.unreachable = self.unreachable, []
         closed = {}
@@ -124,6 +124,6 @@
         return messages.Updates(placed, closed, roles, unreachable, births)
 
 
-def shareable(placed: messages.Placement) -> int:
+def shareable_tokens(placed: messages.Placement) -> int:
     """Tokens of a prompt before its last part, which is its caller's own."""
     return sum(placed.tokens[:-1])
