--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -12,7 +12,7 @@
 
 # Seconds for one question: the largest answer, a configuration of 1,500 routes,
 # takes 0.3 s on a link of 10 Mbit/s, and a few nodes may ask at once.
-LIMIT = 3.0
+TIMEOUT_SECONDS = 3.0
 # Seconds until another node is connected; one that is gone does not answer.
 CONNECT_LIMIT = 0.5
 # Largest answer in bytes; configurations of the users have up to 0.3 MB.
@@ -96,7 +96,9 @@
             exceptions.RecordInvalid: The answer is not sealed.
         """
         host, port = address
-        limit = aiohttp.ClientTimeout(total=LIMIT, sock_connect=CONNECT_LIMIT)
+        limit = aiohttp.ClientTimeout(
+            total=TIMEOUT_SECONDS, sock_connect=CONNECT_LIMIT
+        )
         try:
             async with self.session.get(
                 f"http://{host}:{port}{path}", timeout=limit
