--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -14,7 +14,7 @@
 # takes 0.3 s on a link of 10 Mbit/s, and a few nodes may ask at once.
 TIMEOUT_SECONDS = 3.0
 # Seconds until another node is connected; one that is gone does not answer.
-CONNECT_LIMIT = 0.5
+CONNECT_TIMEOUT_SECONDS = 0.5
 # Largest answer in bytes; configurations of the users have up to 0.3 MB.
 MOST_BYTES = 16 * 1024 * 1024
 
@@ -97,7 +97,7 @@
         """
         host, port = address
         limit = aiohttp.ClientTimeout(
-            total=TIMEOUT_SECONDS, sock_connect=CONNECT_LIMIT
+            total=TIMEOUT_SECONDS, sock_connect=CONNECT_TIMEOUT_SECONDS
         )
         try:
             async with self.session.get(
