--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -16,7 +16,7 @@
 # Seconds until another node is connected; one that is gone does not answer.
 CONNECT_TIMEOUT_SECONDS = 0.5
 # Largest answer in bytes; configurations of the users have up to 0.3 MB.
-MOST_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 CONFIGURATION = "/configuration"
 REGISTRATIONS = "/registrations"
@@ -104,7 +104,7 @@
                 f"http://{host}:{port}{path}", timeout=limit
             ) as response:
                 length = response.content_length or 0
-                if response.status != 200 or length > MOST_BYTES:
+                if response.status != 200 or length > MAX_RESPONSE_BYTES:
                     raise exceptions.PeerRefused(
                         f"{path}: {response.status}, {length} bytes"
                     )
