--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -112,7 +112,10 @@
             return
         self.prefix_router.cache_capacity = service.cache_tokens
         self.prefix_router.caches.add_hashes(
-            caches.engine, caches.links, caches.tokens, service.cache_tokens
+            caches.engine,
+            caches.prefix_hashes,
+            caches.tokens,
+            service.cache_tokens,
         )
 
     def encode_caches(self) -> bytes:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -47,7 +47,7 @@
 
     engine: str
     born: int
-    links: list[int]
+    prefix_hashes: list[int]
     tokens: list[int]
 
 
