--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -102,10 +102,10 @@
         """Applies the relay's list for one engine."""
         replica = self.directory.replicas.get(caches.engine)
         if replica is None or incarnations.is_later_start(
-            caches.born, replica.started_at
+            caches.started_at, replica.started_at
         ):
             return
-        if incarnations.is_later_start(replica.started_at, caches.born):
+        if incarnations.is_later_start(replica.started_at, caches.started_at):
             return
         service = self.service(replica)
         if service is None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -46,7 +46,7 @@
     """
 
     engine: str
-    born: int
+    started_at: int
     prefix_hashes: list[int]
     tokens: list[int]
 
