--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -98,7 +98,7 @@
         for caches in found:
             self.apply_links(caches)
 
-    def apply_links(self, caches: questions_module.CacheLinks) -> None:
+    def apply_links(self, caches: questions_module.CachedPrefixes) -> None:
         """Applies the relay's list for one engine."""
         replica = self.directory.replicas.get(caches.engine)
         if replica is None or incarnations.is_later_start(
@@ -128,7 +128,7 @@
             if replica is None:
                 continue
             found.append(
-                questions_module.CacheLinks(
+                questions_module.CachedPrefixes(
                     engine, replica.started_at, list(kept), list(kept.values())
                 )
             )
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -35,7 +35,7 @@
     entries: list[messages.ChangedRegistration]
 
 
-class CacheLinks(msgspec.Struct, array_like=True):
+class CachedPrefixes(msgspec.Struct, array_like=True):
     """What one engine is believed to keep, least recently used first.
 
     Attributes:
@@ -52,7 +52,7 @@
 
 
 REGISTERED_DECODER = msgspec.msgpack.Decoder(Registered)
-CACHES_DECODER = msgspec.msgpack.Decoder(list[CacheLinks])
+CACHES_DECODER = msgspec.msgpack.Decoder(list[CachedPrefixes])
 
 
 class Answers:
