--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -23,7 +23,7 @@
 CACHES = "/caches"
 
 
-class Registered(msgspec.Struct, array_like=True):
+class RegistrationList(msgspec.Struct, array_like=True):
     """All registrations that a node knows.
 
     Attributes:
@@ -51,7 +51,7 @@
     tokens: list[int]
 
 
-REGISTERED_DECODER = msgspec.msgpack.Decoder(Registered)
+REGISTERED_DECODER = msgspec.msgpack.Decoder(RegistrationList)
 CACHES_DECODER = msgspec.msgpack.Decoder(list[CachedPrefixes])
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -270,7 +270,7 @@
                 messages.ChangedRegistration(key, known[0], known[1])
             )
         end = self.registrations_watch.position
-        return ENCODER.encode(questions_module.Registered(end, entries))
+        return ENCODER.encode(questions_module.RegistrationList(end, entries))
 
 
 def sent_age(
