--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -51,7 +51,7 @@
     tokens: list[int]
 
 
-REGISTERED_DECODER = msgspec.msgpack.Decoder(RegistrationList)
+REGISTRATIONS_DECODER = msgspec.msgpack.Decoder(RegistrationList)
 CACHES_DECODER = msgspec.msgpack.Decoder(list[CachedPrefixes])
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -254,7 +254,7 @@
         if address is None:
             return
         body = await self.questions.ask(address, questions_module.REGISTRATIONS)
-        found = questions_module.REGISTERED_DECODER.decode(body)
+        found = questions_module.REGISTRATIONS_DECODER.decode(body)
         changes = []
         for entry in found.entries:
             changes.append(
