--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -155,7 +155,7 @@
                 line_writer.NonBlockingLineWriter(descriptor),
             )
         self.gateway.gossip.sender.transport = self
-        self.gateway.questions.ask = self.ask
+        self.gateway.questions.fetch = self.ask
 
     def start(self) -> None:
         """Starts the tasks that learn what the store and others say."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -80,7 +80,7 @@
         if relay is None:
             return
         try:
-            body = await self.questions.ask(relay, questions_module.CACHES)
+            body = await self.questions.fetch(relay, questions_module.CACHES)
             found = questions_module.CACHES_DECODER.decode(body)
         except exceptions.PeerRefused:
             # It has no lists yet; it may have just started, too.
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -87,7 +87,7 @@
         self.session = session
         self.sealer = sealer
 
-    async def ask(self, address: tuple[str, int], path: str) -> bytes:
+    async def fetch(self, address: tuple[str, int], path: str) -> bytes:
         """Asks one node.
 
         Raises:
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -235,7 +235,7 @@
             < self.read_timeouts.ask_after
         ):
             return
-        record = await self.questions.ask(
+        record = await self.questions.fetch(
             self.newer_peer, questions_module.CONFIGURATION
         )
         self.configurations.offer(record, "peer")
@@ -253,7 +253,9 @@
         address, self.differing_peer = self.differing_peer, None
         if address is None:
             return
-        body = await self.questions.ask(address, questions_module.REGISTRATIONS)
+        body = await self.questions.fetch(
+            address, questions_module.REGISTRATIONS
+        )
         found = questions_module.REGISTRATIONS_DECODER.decode(body)
         changes = []
         for entry in found.entries:
