--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -159,7 +159,7 @@
             self.gossip,
             self.questions,
         )
-        self.answers = questions.Answers(self.gossip.sealer)
+        self.answers = questions.QueryHandler(self.gossip.sealer)
         self.answers.sources[questions.CONFIGURATION] = lambda: (
             self.configurations.record
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -55,7 +55,7 @@
 CACHES_DECODER = msgspec.msgpack.Decoder(list[CachedPrefixes])
 
 
-class Answers:
+class QueryHandler:
     """Serves the questions of other nodes.
 
     >>> answers = Answers(sealer)
