--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -51,7 +51,7 @@
         endpoints: types.Endpoints,
         prefix_router: prefix_routing_module.PrefixRouter,
         gossip: gossip_module.Gossip,
-        questions: questions_module.Questions,
+        questions: questions_module.QueryClient,
     ):
         self.directory = directory
         self.configurations = configurations
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -150,7 +150,7 @@
         self.crash_records = crash_records_module.CrashRecords(
             self.store, self.quarantine, self.gossip.reads
         )
-        self.questions = questions.Questions(self.session, self.gossip.sealer)
+        self.questions = questions.QueryClient(self.session, self.gossip.sealer)
         self.cache_lists = cache_lists.CacheLists(
             self.directory,
             self.configurations,
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/questions.py
@@ -75,7 +75,7 @@
         return web.Response(body=self.sealer.seal(found))
 
 
-class Questions:
+class QueryClient:
     """Asks other nodes.
 
     >>> questions = Questions(session, sealer)
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -53,7 +53,7 @@
         registrations_watch: topic_watches.TopicWatch,
         configuration_watch: topic_watches.TopicWatch,
         is_reader: Callable[[], bool],
-        questions: questions_module.Questions,
+        questions: questions_module.QueryClient,
         read_timeouts: read_timeouts_module.ReadTimeouts,
     ):
         self.read_timeouts = read_timeouts
