--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -9,7 +9,7 @@
 
 # Seconds after its last report for which a node is told; it reports once a
 # second at the least.
-SUBSCRIBED = 3.0
+SUBSCRIPTION_SECONDS = 3.0
 # Seconds between two signs of life to a node for which this one stands by.
 SIGNS = 1.0
 # Seconds after which a relay of another data centre counts as silent.
@@ -101,7 +101,7 @@
     def expire(self, now: float) -> None:
         """Drops subscribers and relays that are silent."""
         for name, subscriber in list(self.subscribers.items()):
-            if now - subscriber.heard > SUBSCRIBED:
+            if now - subscriber.heard > SUBSCRIPTION_SECONDS:
                 del self.subscribers[name]
         for sources in self.sources.values():
             for name, source in list(sources.items()):
