--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -11,7 +11,7 @@
 # second at the least.
 SUBSCRIPTION_SECONDS = 3.0
 # Seconds between two signs of life to a node for which this one stands by.
-SIGNS = 1.0
+HEARTBEAT_INTERVAL_SECONDS = 1.0
 # Seconds after which a relay of another data centre counts as silent.
 RELAY_SILENT = 1.5
 # Relays of one other data centre that are told, and seconds for which two
@@ -118,7 +118,7 @@
                 continue
             if subscriber.wants != messages.SUBSCRIBE_HEARTBEATS:
                 continue
-            if now - subscriber.told >= SIGNS:
+            if now - subscriber.told >= HEARTBEAT_INTERVAL_SECONDS:
                 subscriber.told = now
                 signs.append(subscriber)
         return Due(everything, signs)
