--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -13,7 +13,7 @@
 # Seconds between two signs of life to a node for which this one stands by.
 HEARTBEAT_INTERVAL_SECONDS = 1.0
 # Seconds after which a relay of another data centre counts as silent.
-RELAY_SILENT = 1.5
+RELAY_EXPIRY_SECONDS = 1.5
 # Relays of one other data centre that are told, and seconds for which two
 # that do not answer are tried.
 TOLD = 2
@@ -105,7 +105,7 @@
                 del self.subscribers[name]
         for sources in self.sources.values():
             for name, source in list(sources.items()):
-                if now - source.heard > RELAY_SILENT:
+                if now - source.heard > RELAY_EXPIRY_SECONDS:
                     del sources[name]
 
     def due(self, now: float) -> Due:
