--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -16,7 +16,7 @@
 RELAY_EXPIRY_SECONDS = 1.5
 # Relays of one other data centre that are told, and seconds for which two
 # that do not answer are tried.
-TOLD = 2
+TARGETS_PER_DATA_CENTRE = 2
 TRIED = 0.5
 # Nodes of another data centre that are tried by turns: its relay is one of
 # the first that run.
@@ -171,7 +171,10 @@
             sources = list(self.sources.get(data_centre, {}).values())
             sources.sort(key=place, reverse=True)
             if sources:
-                found += [source.member for source in sources[:TOLD]]
+                found += [
+                    source.member
+                    for source in sources[:TARGETS_PER_DATA_CENTRE]
+                ]
             else:
                 found += self.tried(data_centre, now)
         return found
@@ -187,11 +190,11 @@
         ranked = self.members.ranked(data_centre)[:MOST_TRIED]
         start, since = self.tries.get(data_centre, (0, now))
         if now - since >= TRIED:
-            start, since = start + TOLD, now
+            start, since = start + TARGETS_PER_DATA_CENTRE, now
         if start >= len(ranked):
             start = 0
         self.tries[data_centre] = (start, since)
-        found = ranked[start : start + TOLD]
+        found = ranked[start : start + TARGETS_PER_DATA_CENTRE]
         last = self.last.get(data_centre)
         if last is not None and last not in found:
             found = [*found, last]
