--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -17,7 +17,7 @@
 # Relays of one other data centre that are told, and seconds for which two
 # that do not answer are tried.
 TARGETS_PER_DATA_CENTRE = 2
-TRIED = 0.5
+PROBE_SECONDS = 0.5
 # Nodes of another data centre that are tried by turns: its relay is one of
 # the first that run.
 MOST_TRIED = 8
@@ -189,7 +189,7 @@
         """
         ranked = self.members.ranked(data_centre)[:MOST_TRIED]
         start, since = self.tries.get(data_centre, (0, now))
-        if now - since >= TRIED:
+        if now - since >= PROBE_SECONDS:
             start, since = start + TARGETS_PER_DATA_CENTRE, now
         if start >= len(ranked):
             start = 0
