--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -20,7 +20,7 @@
 PROBE_SECONDS = 0.5
 # Nodes of another data centre that are tried by turns: its relay is one of
 # the first that run.
-MOST_TRIED = 8
+MAX_PROBED = 8
 
 
 class Subscriber:
@@ -187,7 +187,7 @@
         The last one that was heard is told on: after a cut it is there at
         once.
         """
-        ranked = self.members.ranked(data_centre)[:MOST_TRIED]
+        ranked = self.members.ranked(data_centre)[:MAX_PROBED]
         start, since = self.tries.get(data_centre, (0, now))
         if now - since >= PROBE_SECONDS:
             start, since = start + TARGETS_PER_DATA_CENTRE, now
