--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -327,7 +327,7 @@
             until = now + loads_module.EXPIRY_SECONDS
             for subscriber in self.relaying.subscribers.values():
                 self.loads.set_remote(
-                    subscriber.member.name, subscriber.amounts, until
+                    subscriber.member.name, subscriber.loads, until
                 )
         self.report(now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -28,7 +28,7 @@
 
     def __init__(self, member: members_module.Member):
         self.member = member
-        self.amounts = messages.EngineLoads({}, {}, {}, {})
+        self.loads = messages.EngineLoads({}, {}, {}, {})
         self.wants = messages.SUBSCRIBE_PRESENCE
         self.heard = 0.0
         self.told = 0.0
@@ -85,7 +85,7 @@
             found = Subscriber(member)
             self.subscribers[member.name] = found
         found.member = member
-        found.amounts = report.loads
+        found.loads = report.loads
         found.wants = max(
             report.subscription_level, messages.SUBSCRIBE_PRESENCE
         )
@@ -127,7 +127,7 @@
         """The work of all nodes of this data centre."""
         parts = [own]
         for subscriber in self.subscribers.values():
-            parts.append(subscriber.amounts)
+            parts.append(subscriber.loads)
         return loads_module.total(parts)
 
     def hear(
