--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -585,7 +585,7 @@
             return found
         found = self.relaying.targets(self.clock())
         for subscriber in self.relaying.subscribers.values():
-            if subscriber.wants != messages.SUBSCRIBE_PRESENCE:
+            if subscriber.level != messages.SUBSCRIBE_PRESENCE:
                 found.append(subscriber.member)
         return found
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -29,7 +29,7 @@
     def __init__(self, member: members_module.Member):
         self.member = member
         self.loads = messages.EngineLoads({}, {}, {}, {})
-        self.wants = messages.SUBSCRIBE_PRESENCE
+        self.level = messages.SUBSCRIBE_PRESENCE
         self.heard = 0.0
         self.told = 0.0
 
@@ -86,7 +86,7 @@
             self.subscribers[member.name] = found
         found.member = member
         found.loads = report.loads
-        found.wants = max(
+        found.level = max(
             report.subscription_level, messages.SUBSCRIBE_PRESENCE
         )
         found.heard = now
@@ -95,7 +95,7 @@
     def greet(self, member: members_module.Member, now: float) -> None:
         """Notes a node that tells everybody by itself; it gets a sign."""
         found = self.subscribers.setdefault(member.name, Subscriber(member))
-        found.wants = messages.SUBSCRIBE_HEARTBEATS
+        found.level = messages.SUBSCRIBE_HEARTBEATS
         found.heard = now
 
     def expire(self, now: float) -> None:
@@ -113,10 +113,10 @@
         everything = []
         signs = []
         for subscriber in self.subscribers.values():
-            if subscriber.wants == messages.SUBSCRIBE_ALL:
+            if subscriber.level == messages.SUBSCRIBE_ALL:
                 everything.append(subscriber)
                 continue
-            if subscriber.wants != messages.SUBSCRIBE_HEARTBEATS:
+            if subscriber.level != messages.SUBSCRIBE_HEARTBEATS:
                 continue
             if now - subscriber.told >= HEARTBEAT_INTERVAL_SECONDS:
                 subscriber.told = now
