--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -30,7 +30,7 @@
         self.member = member
         self.loads = messages.EngineLoads({}, {}, {}, {})
         self.level = messages.SUBSCRIBE_PRESENCE
-        self.heard = 0.0
+        self.last_seen = 0.0
         self.told = 0.0
 
 
@@ -89,19 +89,19 @@
         found.level = max(
             report.subscription_level, messages.SUBSCRIBE_PRESENCE
         )
-        found.heard = now
+        found.last_seen = now
         return new and report.subscription_level != messages.SUBSCRIBE_PRESENCE
 
     def greet(self, member: members_module.Member, now: float) -> None:
         """Notes a node that tells everybody by itself; it gets a sign."""
         found = self.subscribers.setdefault(member.name, Subscriber(member))
         found.level = messages.SUBSCRIBE_HEARTBEATS
-        found.heard = now
+        found.last_seen = now
 
     def expire(self, now: float) -> None:
         """Drops subscribers and relays that are silent."""
         for name, subscriber in list(self.subscribers.items()):
-            if now - subscriber.heard > SUBSCRIPTION_SECONDS:
+            if now - subscriber.last_seen > SUBSCRIPTION_SECONDS:
                 del self.subscribers[name]
         for sources in self.sources.values():
             for name, source in list(sources.items()):
