--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -31,7 +31,7 @@
         self.loads = messages.EngineLoads({}, {}, {}, {})
         self.level = messages.SUBSCRIBE_PRESENCE
         self.last_seen = 0.0
-        self.told = 0.0
+        self.heartbeat_sent_at = 0.0
 
 
 class Source:
@@ -118,8 +118,8 @@
                 continue
             if subscriber.level != messages.SUBSCRIBE_HEARTBEATS:
                 continue
-            if now - subscriber.told >= HEARTBEAT_INTERVAL_SECONDS:
-                subscriber.told = now
+            if now - subscriber.heartbeat_sent_at >= HEARTBEAT_INTERVAL_SECONDS:
+                subscriber.heartbeat_sent_at = now
                 signs.append(subscriber)
         return Due(everything, signs)
 
