--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -471,7 +471,7 @@
         best = self.relaying.best(data_centre)
         if best is not None and best.member.name == member.name:
             until = now + loads_module.EXPIRY_SECONDS
-            self.loads.set_remote(data_centre, best.listener.loads(now), until)
+            self.loads.set_remote(data_centre, best.decoder.loads(now), until)
             self.beliefs.apply(summary.updates, now)
             if self.relaying.for_nodes.add_updates(summary.updates, now):
                 self.urgent.set()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -39,7 +39,7 @@
 
     def __init__(self, member: members_module.Member):
         self.member = member
-        self.listener = loads_module.new_decoder()
+        self.decoder = loads_module.new_decoder()
         self.nodes = 0
         self.heard = 0.0
 
@@ -142,7 +142,7 @@
         source.member = member
         source.nodes = summary.node_count
         source.heard = now
-        source.listener.receive(summary.load_delta, now)
+        source.decoder.receive(summary.load_delta, now)
         self.last[member.data_centre] = member
 
     def best(self, data_centre: str) -> Source | None:
