--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -40,7 +40,7 @@
     def __init__(self, member: members_module.Member):
         self.member = member
         self.decoder = loads_module.new_decoder()
-        self.nodes = 0
+        self.node_count = 0
         self.heard = 0.0
 
 
@@ -140,7 +140,7 @@
         sources = self.sources.setdefault(member.data_centre, {})
         source = sources.setdefault(member.name, Source(member))
         source.member = member
-        source.nodes = summary.node_count
+        source.node_count = summary.node_count
         source.heard = now
         source.decoder.receive(summary.load_delta, now)
         self.last[member.data_centre] = member
@@ -159,7 +159,7 @@
         for data_centre in self.sources:
             source = self.best(data_centre)
             if source is not None:
-                count += source.nodes
+                count += source.node_count
         return count
 
     def targets(self, now: float) -> list[members_module.Member]:
@@ -203,4 +203,4 @@
 
 def place(source: Source) -> tuple[int, str]:
     """Sorts relays of one data centre: most nodes last."""
-    return source.nodes, source.member.name
+    return source.node_count, source.member.name
