--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -41,7 +41,7 @@
         self.member = member
         self.decoder = loads_module.new_decoder()
         self.node_count = 0
-        self.heard = 0.0
+        self.last_seen = 0.0
 
 
 class Due(NamedTuple):
@@ -105,7 +105,7 @@
                 del self.subscribers[name]
         for sources in self.sources.values():
             for name, source in list(sources.items()):
-                if now - source.heard > RELAY_EXPIRY_SECONDS:
+                if now - source.last_seen > RELAY_EXPIRY_SECONDS:
                     del sources[name]
 
     def due(self, now: float) -> Due:
@@ -141,7 +141,7 @@
         source = sources.setdefault(member.name, Source(member))
         source.member = member
         source.node_count = summary.node_count
-        source.heard = now
+        source.last_seen = now
         source.decoder.receive(summary.load_delta, now)
         self.last[member.data_centre] = member
 
