--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -34,7 +34,7 @@
         self.heartbeat_sent_at = 0.0
 
 
-class Source:
+class RemoteRelay:
     """A relay of another data centre, with the sums that it told."""
 
     def __init__(self, member: members_module.Member):
@@ -62,7 +62,7 @@
     def __init__(self, members: members_module.Members):
         self.members = members
         self.subscribers: dict[str, Subscriber] = {}
-        self.sources: dict[str, dict[str, Source]] = {}
+        self.sources: dict[str, dict[str, RemoteRelay]] = {}
         self.for_nodes = outbox_module.Outbox()
         self.for_relays = outbox_module.Outbox()
         self.tries: dict[str, tuple[int, float]] = {}
@@ -138,14 +138,14 @@
     ) -> None:
         """Takes in what a relay of another data centre tells."""
         sources = self.sources.setdefault(member.data_centre, {})
-        source = sources.setdefault(member.name, Source(member))
+        source = sources.setdefault(member.name, RemoteRelay(member))
         source.member = member
         source.node_count = summary.node_count
         source.last_seen = now
         source.decoder.receive(summary.load_delta, now)
         self.last[member.data_centre] = member
 
-    def best(self, data_centre: str) -> Source | None:
+    def best(self, data_centre: str) -> RemoteRelay | None:
         """The relay of a data centre that speaks for most of its nodes."""
         found = None
         for source in self.sources.get(data_centre, {}).values():
@@ -201,6 +201,6 @@
         return found
 
 
-def place(source: Source) -> tuple[int, str]:
+def place(source: RemoteRelay) -> tuple[int, str]:
     """Sorts relays of one data centre: most nodes last."""
     return source.node_count, source.member.name
