--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -47,7 +47,7 @@
 class Due(NamedTuple):
     """Who is told now: all that there is, or just a sign of life."""
 
-    everything: list[Subscriber]
+    full: list[Subscriber]
     signs: list[Subscriber]
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -71,7 +71,7 @@
             apart: Whether the rest of the site may count without these.
             now: The time.
         """
-        if not due.everything and not due.signs:
+        if not due.full and not due.signs:
             return
         self.count += 1
         introduced = []
@@ -91,7 +91,7 @@
                 apart,
             )
             self.send(sign, [one.member for one in due.signs], now)
-        if due.everything:
+        if due.full:
             self.relaying.for_nodes.retain_closings(
                 self.directory.changing_until
             )
@@ -102,13 +102,13 @@
                 False,
                 self.for_nodes.encode(self.loads.site_totals(now)),
                 self.relaying.for_nodes.take(
-                    now, self.most_placed(len(due.everything), now)
+                    now, self.most_placed(len(due.full), now)
                 ),
                 knowledge,
                 introduced,
                 apart,
             )
-            self.send(summary, [one.member for one in due.everything], now)
+            self.send(summary, [one.member for one in due.full], now)
 
     def tell_relays(self, now: float) -> None:
         """Tells the relays of the other data centres."""
