--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -48,7 +48,7 @@
     """Who is told now: all that there is, or just a sign of life."""
 
     full: list[Subscriber]
-    signs: list[Subscriber]
+    heartbeats: list[Subscriber]
 
 
 class Relaying:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -71,14 +71,14 @@
             apart: Whether the rest of the site may count without these.
             now: The time.
         """
-        if not due.full and not due.signs:
+        if not due.full and not due.heartbeats:
             return
         self.count += 1
         introduced = []
-        if due.signs or self.count % INTRODUCING == 0:
+        if due.heartbeats or self.count % INTRODUCING == 0:
             introduced = self.sender.introduced()
         knowledge = self.knowledge.outgoing(False) if self.knowledge else None
-        if due.signs:
+        if due.heartbeats:
             sign = messages.Summary(
                 self.sender.contact(),
                 self.sender.number,
@@ -90,7 +90,7 @@
                 introduced,
                 apart,
             )
-            self.send(sign, [one.member for one in due.signs], now)
+            self.send(sign, [one.member for one in due.heartbeats], now)
         if due.full:
             self.relaying.for_nodes.retain_closings(
                 self.directory.changing_until
