--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -349,7 +349,9 @@
         if relays and self.relays.is_settled(now):
             self.summaries.tell_relays(now)
 
-    def tell_nodes(self, due: relaying_module.Due, now: float) -> None:
+    def tell_nodes(
+        self, due: relaying_module.DueSubscribers, now: float
+    ) -> None:
         """Tells the nodes that report here what is new."""
         self.summaries.tell_nodes(due, self.site_nodes(), self.apart(), now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -44,7 +44,7 @@
         self.last_seen = 0.0
 
 
-class Due(NamedTuple):
+class DueSubscribers(NamedTuple):
     """Who is told now: all that there is, or just a sign of life."""
 
     full: list[Subscriber]
@@ -108,7 +108,7 @@
                 if now - source.last_seen > RELAY_EXPIRY_SECONDS:
                     del sources[name]
 
-    def due(self, now: float) -> Due:
+    def due(self, now: float) -> DueSubscribers:
         """Who is to be told now."""
         everything = []
         signs = []
@@ -121,7 +121,7 @@
             if now - subscriber.heartbeat_sent_at >= HEARTBEAT_INTERVAL_SECONDS:
                 subscriber.heartbeat_sent_at = now
                 signs.append(subscriber)
-        return Due(everything, signs)
+        return DueSubscribers(everything, signs)
 
     def sums(self, own: messages.EngineLoads) -> messages.EngineLoads:
         """The work of all nodes of this data centre."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -61,7 +61,11 @@
         self.count = 0
 
     def tell_nodes(
-        self, due: relaying_module.Due, nodes: int, apart: bool, now: float
+        self,
+        due: relaying_module.DueSubscribers,
+        nodes: int,
+        apart: bool,
+        now: float,
     ) -> None:
         """Tells the nodes of this data centre that report here.
 
