--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -62,7 +62,7 @@
     def __init__(self, members: members_module.Members):
         self.members = members
         self.subscribers: dict[str, Subscriber] = {}
-        self.sources: dict[str, dict[str, RemoteRelay]] = {}
+        self.remote_relays: dict[str, dict[str, RemoteRelay]] = {}
         self.for_nodes = outbox_module.Outbox()
         self.for_relays = outbox_module.Outbox()
         self.tries: dict[str, tuple[int, float]] = {}
@@ -103,7 +103,7 @@
         for name, subscriber in list(self.subscribers.items()):
             if now - subscriber.last_seen > SUBSCRIPTION_SECONDS:
                 del self.subscribers[name]
-        for sources in self.sources.values():
+        for sources in self.remote_relays.values():
             for name, source in list(sources.items()):
                 if now - source.last_seen > RELAY_EXPIRY_SECONDS:
                     del sources[name]
@@ -137,7 +137,7 @@
         now: float,
     ) -> None:
         """Takes in what a relay of another data centre tells."""
-        sources = self.sources.setdefault(member.data_centre, {})
+        sources = self.remote_relays.setdefault(member.data_centre, {})
         source = sources.setdefault(member.name, RemoteRelay(member))
         source.member = member
         source.node_count = summary.node_count
@@ -148,7 +148,7 @@
     def best(self, data_centre: str) -> RemoteRelay | None:
         """The relay of a data centre that speaks for most of its nodes."""
         found = None
-        for source in self.sources.get(data_centre, {}).values():
+        for source in self.remote_relays.get(data_centre, {}).values():
             if found is None or place(source) > place(found):
                 found = source
         return found
@@ -156,7 +156,7 @@
     def nodes(self) -> int:
         """How many nodes there are on the site, as far as relays say."""
         count = 1 + len(self.subscribers)
-        for data_centre in self.sources:
+        for data_centre in self.remote_relays:
             source = self.best(data_centre)
             if source is not None:
                 count += source.node_count
@@ -168,7 +168,7 @@
         for data_centre in self.members.data_centres():
             if data_centre == self.members.own.data_centre:
                 continue
-            sources = list(self.sources.get(data_centre, {}).values())
+            sources = list(self.remote_relays.get(data_centre, {}).values())
             sources.sort(key=place, reverse=True)
             if sources:
                 found += [
