--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -206,7 +206,7 @@
         """This node's news, and those that it passes on."""
         return (
             self.outbox,
-            self.relaying.for_nodes,
+            self.relaying.node_outbox,
             self.relaying.for_relays,
         )
 
@@ -475,13 +475,13 @@
             until = now + loads_module.EXPIRY_SECONDS
             self.loads.set_remote(data_centre, best.decoder.loads(now), until)
             self.beliefs.apply(summary.updates, now)
-            if self.relaying.for_nodes.add_updates(summary.updates, now):
+            if self.relaying.node_outbox.add_updates(summary.updates, now):
                 self.urgent.set()
 
     def pass_on(self, news: messages.Updates, now: float) -> None:
         """Tells others what a node of this data centre has told."""
         self.relaying.for_relays.add_updates(news, now)
-        if self.relaying.for_nodes.add_updates(news, now):
+        if self.relaying.node_outbox.add_updates(news, now):
             self.urgent.set()
 
     def meet(self, contacts: list[messages.Contact], now: float) -> None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -96,7 +96,7 @@
             )
             self.send(sign, [one.member for one in due.heartbeats], now)
         if due.full:
-            self.relaying.for_nodes.retain_closings(
+            self.relaying.node_outbox.retain_closings(
                 self.directory.changing_until
             )
             summary = messages.Summary(
@@ -105,7 +105,7 @@
                 nodes,
                 False,
                 self.for_nodes.encode(self.loads.site_totals(now)),
-                self.relaying.for_nodes.take(
+                self.relaying.node_outbox.take(
                     now, self.most_placed(len(due.full), now)
                 ),
                 knowledge,
