--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -207,7 +207,7 @@
         return (
             self.outbox,
             self.relaying.node_outbox,
-            self.relaying.for_relays,
+            self.relaying.relay_outbox,
         )
 
     def done(self) -> None:
@@ -480,7 +480,7 @@
 
     def pass_on(self, news: messages.Updates, now: float) -> None:
         """Tells others what a node of this data centre has told."""
-        self.relaying.for_relays.add_updates(news, now)
+        self.relaying.relay_outbox.add_updates(news, now)
         if self.relaying.node_outbox.add_updates(news, now):
             self.urgent.set()
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -64,7 +64,7 @@
         self.subscribers: dict[str, Subscriber] = {}
         self.remote_relays: dict[str, dict[str, RemoteRelay]] = {}
         self.node_outbox = outbox_module.Outbox()
-        self.for_relays = outbox_module.Outbox()
+        self.relay_outbox = outbox_module.Outbox()
         self.tries: dict[str, tuple[int, float]] = {}
         self.last: dict[str, members_module.Member] = {}
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -119,7 +119,9 @@
         targets = self.relaying.targets(now)
         if not targets:
             return
-        self.relaying.for_relays.retain_closings(self.directory.changing_until)
+        self.relaying.relay_outbox.retain_closings(
+            self.directory.changing_until
+        )
         sums = self.relaying.sums(self.loads.own(now))
         summary = messages.Summary(
             self.sender.contact(),
@@ -127,7 +129,7 @@
             1 + len(self.relaying.subscribers),
             True,
             self.for_relays.encode(sums),
-            self.relaying.for_relays.take(
+            self.relaying.relay_outbox.take(
                 now, self.most_placed(len(targets), now)
             ),
             # A relay that is cut off from the store hears of it by this.
