--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -65,7 +65,7 @@
         self.remote_relays: dict[str, dict[str, RemoteRelay]] = {}
         self.node_outbox = outbox_module.Outbox()
         self.relay_outbox = outbox_module.Outbox()
-        self.tries: dict[str, tuple[int, float]] = {}
+        self.probes: dict[str, tuple[int, float]] = {}
         self.last: dict[str, members_module.Member] = {}
 
     def report(
@@ -188,12 +188,12 @@
         once.
         """
         ranked = self.members.ranked(data_centre)[:MAX_PROBED]
-        start, since = self.tries.get(data_centre, (0, now))
+        start, since = self.probes.get(data_centre, (0, now))
         if now - since >= PROBE_SECONDS:
             start, since = start + TARGETS_PER_DATA_CENTRE, now
         if start >= len(ranked):
             start = 0
-        self.tries[data_centre] = (start, since)
+        self.probes[data_centre] = (start, since)
         found = ranked[start : start + TARGETS_PER_DATA_CENTRE]
         last = self.last.get(data_centre)
         if last is not None and last not in found:
