--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -66,7 +66,7 @@
         self.node_outbox = outbox_module.Outbox()
         self.relay_outbox = outbox_module.Outbox()
         self.probes: dict[str, tuple[int, float]] = {}
-        self.last: dict[str, members_module.Member] = {}
+        self.last_relays: dict[str, members_module.Member] = {}
 
     def report(
         self,
@@ -143,7 +143,7 @@
         source.node_count = summary.node_count
         source.last_seen = now
         source.decoder.receive(summary.load_delta, now)
-        self.last[member.data_centre] = member
+        self.last_relays[member.data_centre] = member
 
     def best(self, data_centre: str) -> RemoteRelay | None:
         """The relay of a data centre that speaks for most of its nodes."""
@@ -195,7 +195,7 @@
             start = 0
         self.probes[data_centre] = (start, since)
         found = ranked[start : start + TARGETS_PER_DATA_CENTRE]
-        last = self.last.get(data_centre)
+        last = self.last_relays.get(data_centre)
         if last is not None and last not in found:
             found = [*found, last]
         return found
