--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -165,7 +165,7 @@
     )
     for number in range(nodes):
         name = f"node-{number}"
-        context.relaying.report(
+        context.relaying.receive_report(
             members_module.Member(name, name, "dc", ("h", number)),
             messages.Report(
                 messages.Contact(name, name, "dc"),
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -405,7 +405,7 @@
             self.beliefs.apply(report.updates, now)
             return
         self.leave_mesh()
-        if self.relaying.report(member, report, now):
+        if self.relaying.receive_report(member, report, now):
             # It waits for an answer to know that somebody relays.
             due = self.relaying.due(now)
             self.tell_nodes(due, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -68,7 +68,7 @@
         self.probes: dict[str, tuple[int, float]] = {}
         self.last_relays: dict[str, members_module.Member] = {}
 
-    def report(
+    def receive_report(
         self,
         member: members_module.Member,
         report: messages.Report,
