--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -401,7 +401,7 @@
                 self.loads.set_remote(member.name, report.loads, until)
                 self.hear_knowledge(member, report.knowledge, True)
             else:
-                self.relaying.greet(member, now)
+                self.relaying.add_mesh_node(member, now)
             self.beliefs.apply(report.updates, now)
             return
         self.leave_mesh()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -92,7 +92,7 @@
         found.last_seen = now
         return new and report.subscription_level != messages.SUBSCRIBE_PRESENCE
 
-    def greet(self, member: members_module.Member, now: float) -> None:
+    def add_mesh_node(self, member: members_module.Member, now: float) -> None:
         """Notes a node that tells everybody by itself; it gets a sign."""
         found = self.subscribers.setdefault(member.name, Subscriber(member))
         found.level = messages.SUBSCRIBE_HEARTBEATS
