--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -344,7 +344,7 @@
         relays = self.choice.relay is None
         if relays:
             self.pass_on(self.news(now), now)
-        due = self.relaying.due(now)
+        due = self.relaying.due_subscribers(now)
         self.tell_nodes(due, now)
         if relays and self.relays.is_settled(now):
             self.summaries.tell_relays(now)
@@ -407,7 +407,7 @@
         self.leave_mesh()
         if self.relaying.receive_report(member, report, now):
             # It waits for an answer to know that somebody relays.
-            due = self.relaying.due(now)
+            due = self.relaying.due_subscribers(now)
             self.tell_nodes(due, now)
         if self.choice.relay is None:
             self.loads.set_remote(member.name, report.loads, until)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -108,7 +108,7 @@
                 if now - source.last_seen > RELAY_EXPIRY_SECONDS:
                     del sources[name]
 
-    def due(self, now: float) -> DueSubscribers:
+    def due_subscribers(self, now: float) -> DueSubscribers:
         """Who is to be told now."""
         everything = []
         signs = []
