--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -123,7 +123,9 @@
                 signs.append(subscriber)
         return DueSubscribers(everything, signs)
 
-    def sums(self, own: messages.EngineLoads) -> messages.EngineLoads:
+    def data_centre_loads(
+        self, own: messages.EngineLoads
+    ) -> messages.EngineLoads:
         """The work of all nodes of this data centre."""
         parts = [own]
         for subscriber in self.subscribers.values():
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -122,7 +122,7 @@
         self.relaying.relay_outbox.retain_closings(
             self.directory.changing_until
         )
-        sums = self.relaying.sums(self.loads.own(now))
+        sums = self.relaying.data_centre_loads(self.loads.own(now))
         summary = messages.Summary(
             self.sender.contact(),
             self.sender.number,
