--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -467,7 +467,7 @@
         data_centre = member.data_centre
         if data_centre == self.members.own.data_centre:
             return
-        self.relaying.hear(member, summary, now)
+        self.relaying.receive_summary(member, summary, now)
         if self.choice.relay is not None:
             return
         best = self.relaying.best(data_centre)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -132,7 +132,7 @@
             parts.append(subscriber.loads)
         return loads_module.total(parts)
 
-    def hear(
+    def receive_summary(
         self,
         member: members_module.Member,
         summary: messages.Summary,
