--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -470,7 +470,7 @@
         self.relaying.receive_summary(member, summary, now)
         if self.choice.relay is not None:
             return
-        best = self.relaying.best(data_centre)
+        best = self.relaying.best_relay(data_centre)
         if best is not None and best.member.name == member.name:
             until = now + loads_module.EXPIRY_SECONDS
             self.loads.set_remote(data_centre, best.decoder.loads(now), until)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -147,7 +147,7 @@
         source.decoder.receive(summary.load_delta, now)
         self.last_relays[member.data_centre] = member
 
-    def best(self, data_centre: str) -> RemoteRelay | None:
+    def best_relay(self, data_centre: str) -> RemoteRelay | None:
         """The relay of a data centre that speaks for most of its nodes."""
         found = None
         for source in self.remote_relays.get(data_centre, {}).values():
@@ -159,7 +159,7 @@
         """How many nodes there are on the site, as far as relays say."""
         count = 1 + len(self.subscribers)
         for data_centre in self.remote_relays:
-            source = self.best(data_centre)
+            source = self.best_relay(data_centre)
             if source is not None:
                 count += source.node_count
         return count
