--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -539,7 +539,7 @@
         if self.meshed:
             return self.census.count_recent(now)
         if self.choice.relay is None:
-            self.census.record(self.relaying.nodes(), now)
+            self.census.record(self.relaying.node_count(), now)
         return self.census.highest
 
     def site_nodes(self) -> int:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -155,7 +155,7 @@
                 found = source
         return found
 
-    def nodes(self) -> int:
+    def node_count(self) -> int:
         """How many nodes there are on the site, as far as relays say."""
         count = 1 + len(self.subscribers)
         for data_centre in self.remote_relays:
