--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -585,7 +585,7 @@
             if choice.standby is not None:
                 found.append(choice.standby)
             return found
-        found = self.relaying.targets(self.clock())
+        found = self.relaying.relay_targets(self.clock())
         for subscriber in self.relaying.subscribers.values():
             if subscriber.level != messages.SUBSCRIBE_PRESENCE:
                 found.append(subscriber.member)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -164,7 +164,7 @@
                 count += source.node_count
         return count
 
-    def targets(self, now: float) -> list[members_module.Member]:
+    def relay_targets(self, now: float) -> list[members_module.Member]:
         """The relays of other data centres that are to be told."""
         found = []
         for data_centre in self.members.data_centres():
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -116,7 +116,7 @@
 
     def tell_relays(self, now: float) -> None:
         """Tells the relays of the other data centres."""
-        targets = self.relaying.targets(now)
+        targets = self.relaying.relay_targets(now)
         if not targets:
             return
         self.relaying.relay_outbox.retain_closings(
