--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -178,10 +178,10 @@
                     for source in sources[:TARGETS_PER_DATA_CENTRE]
                 ]
             else:
-                found += self.tried(data_centre, now)
+                found += self.probe_targets(data_centre, now)
         return found
 
-    def tried(
+    def probe_targets(
         self, data_centre: str, now: float
     ) -> list[members_module.Member]:
         """Nodes of a data centre of which no relay was heard, by turns.
