--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -151,7 +151,7 @@
         """The relay of a data centre that speaks for most of its nodes."""
         found = None
         for source in self.remote_relays.get(data_centre, {}).values():
-            if found is None or place(source) > place(found):
+            if found is None or rank_key(source) > rank_key(found):
                 found = source
         return found
 
@@ -171,7 +171,7 @@
             if data_centre == self.members.own.data_centre:
                 continue
             sources = list(self.remote_relays.get(data_centre, {}).values())
-            sources.sort(key=place, reverse=True)
+            sources.sort(key=rank_key, reverse=True)
             if sources:
                 found += [
                     source.member
@@ -203,6 +203,6 @@
         return found
 
 
-def place(source: RemoteRelay) -> tuple[int, str]:
+def rank_key(source: RemoteRelay) -> tuple[int, str]:
     """Sorts relays of one data centre: most nodes last."""
     return source.node_count, source.member.name
