--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -11,7 +11,7 @@
 
 # Seconds that a report takes to be in its relay's sums: the way there, and
 # the wait for a processor that is in use.
-UNDER_WAY = 0.015
+REPORT_DELAY_SECONDS = 0.015
 # Seconds after which a node of a mesh tells again what it has read; a little
 # less than between two reports where nothing happens, so that each has it.
 KNOWLEDGE_REFRESH = 0.9
@@ -101,7 +101,9 @@
     def remember(self, now: float) -> None:
         """Keeps what was reported, to be taken out of the relay's sums."""
         self.sent.append((now, self.loads.own(now)))
-        while len(self.sent) > 1 and now - self.sent[1][0] > UNDER_WAY:
+        while (
+            len(self.sent) > 1 and now - self.sent[1][0] > REPORT_DELAY_SECONDS
+        ):
             del self.sent[0]
 
     def own_part(self) -> messages.EngineLoads:
