--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -14,7 +14,7 @@
 REPORT_DELAY_SECONDS = 0.015
 # Seconds after which a node of a mesh tells again what it has read; a little
 # less than between two reports where nothing happens, so that each has it.
-KNOWLEDGE_REFRESH = 0.9
+KNOWLEDGE_REFRESH_SECONDS = 0.9
 
 
 class Reports:
@@ -68,7 +68,7 @@
         if found is None:
             return None
         state = (found.digest, found.version)
-        due = now - self.told_at >= KNOWLEDGE_REFRESH
+        due = now - self.told_at >= KNOWLEDGE_REFRESH_SECONDS
         if not due and not found.changed and state == self.told_state:
             return None
         self.told_at = now
