--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -38,7 +38,7 @@
         self.relays = relays
         self.loads = loads
         self.sender = sender
-        self.sent: list[tuple[float, messages.EngineLoads]] = []
+        self.sent_loads: list[tuple[float, messages.EngineLoads]] = []
         self.told_at = -math.inf
         self.told_state = (0, 0)
 
@@ -100,16 +100,17 @@
 
     def remember(self, now: float) -> None:
         """Keeps what was reported, to be taken out of the relay's sums."""
-        self.sent.append((now, self.loads.own(now)))
+        self.sent_loads.append((now, self.loads.own(now)))
         while (
-            len(self.sent) > 1 and now - self.sent[1][0] > REPORT_DELAY_SECONDS
+            len(self.sent_loads) > 1
+            and now - self.sent_loads[1][0] > REPORT_DELAY_SECONDS
         ):
-            del self.sent[0]
+            del self.sent_loads[0]
 
     def own_part(self) -> messages.EngineLoads:
         """What the relay's sums have of this node by now."""
-        if self.sent:
-            return self.sent[0][1]
+        if self.sent_loads:
+            return self.sent_loads[0][1]
         return messages.EngineLoads({}, {}, {}, {})
 
     def send(
