--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -39,7 +39,7 @@
         self.loads = loads
         self.sender = sender
         self.sent_loads: list[tuple[float, messages.EngineLoads]] = []
-        self.told_at = -math.inf
+        self.knowledge_sent_at = -math.inf
         self.told_state = (0, 0)
 
     def to_all(
@@ -68,10 +68,10 @@
         if found is None:
             return None
         state = (found.digest, found.version)
-        due = now - self.told_at >= KNOWLEDGE_REFRESH_SECONDS
+        due = now - self.knowledge_sent_at >= KNOWLEDGE_REFRESH_SECONDS
         if not due and not found.changed and state == self.told_state:
             return None
-        self.told_at = now
+        self.knowledge_sent_at = now
         self.told_state = state
         return found
 
