--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -40,7 +40,7 @@
         self.sender = sender
         self.sent_loads: list[tuple[float, messages.EngineLoads]] = []
         self.knowledge_sent_at = -math.inf
-        self.told_state = (0, 0)
+        self.knowledge_sent_state = (0, 0)
 
     def to_all(
         self,
@@ -69,10 +69,10 @@
             return None
         state = (found.digest, found.version)
         due = now - self.knowledge_sent_at >= KNOWLEDGE_REFRESH_SECONDS
-        if not due and not found.changed and state == self.told_state:
+        if not due and not found.changed and state == self.knowledge_sent_state:
             return None
         self.knowledge_sent_at = now
-        self.told_state = state
+        self.knowledge_sent_state = state
         return found
 
     def to_relay(
