--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -277,7 +277,7 @@
         """Tells what this node has, to its relay or to every node."""
         if self.meshed:
             knowledge = self.summaries.knowledge
-            self.reports.to_all(self.news(now), knowledge, now)
+            self.reports.send_to_all(self.news(now), knowledge, now)
             return
         choice = self.choice
         if choice.relay is None:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -42,7 +42,7 @@
         self.knowledge_sent_at = -math.inf
         self.knowledge_sent_state = (0, 0)
 
-    def to_all(
+    def send_to_all(
         self,
         news: messages.Updates,
         knowledge: summaries.Knowledge | None,
