--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -286,7 +286,7 @@
                 self.notice(now)
             return
         # All get the same news; each is told what it is asked for.
-        self.reports.to_relay(choice, self.news(now), now)
+        self.reports.send_to_relay(choice, self.news(now), now)
 
     def read(self) -> None:
         """Notes that this node has read something new in the store."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -75,7 +75,7 @@
         self.knowledge_sent_state = state
         return found
 
-    def to_relay(
+    def send_to_relay(
         self, choice: relays_module.Choice, news: messages.Updates, now: float
     ) -> None:
         """Tells the relay, and those that could be it, what this node has."""
