--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -57,10 +57,10 @@
             messages.SUBSCRIBE_NONE,
             self.loads.own(now),
             news,
-            self.read_lately(knowledge, now),
+            self.knowledge_if_due(knowledge, now),
         )
 
-    def read_lately(
+    def knowledge_if_due(
         self, knowledge: summaries.Knowledge | None, now: float
     ) -> messages.Knowledge | None:
         """What this node knows from the store, if it is time to tell it."""
