--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -296,7 +296,7 @@
     def notice(self, now: float) -> None:
         """Makes this node known to those that could relay as well."""
         self.noticed = now
-        self.reports.notice(self.choice, now)
+        self.reports.announce(self.choice, now)
 
     def news(self, now: float) -> messages.Updates:
         """This node's own news, to be told once."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -86,7 +86,7 @@
             others.append(choice.standby)
         self.send(others, messages.SUBSCRIBE_HEARTBEATS, news, now)
 
-    def notice(self, choice: relays_module.Choice, now: float) -> None:
+    def announce(self, choice: relays_module.Choice, now: float) -> None:
         """Makes this node known to those that could relay as well."""
         self.send(
             choice.asked, messages.SUBSCRIBE_HEARTBEATS, messages.Updates(), now
