--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -79,7 +79,7 @@
         self, choice: relays_module.Choice, news: messages.Updates, now: float
     ) -> None:
         """Tells the relay, and those that could be it, what this node has."""
-        self.remember(now)
+        self.record_sent_loads(now)
         self.send([choice.relay], messages.SUBSCRIBE_ALL, news, now)
         others = list(choice.asked)
         if choice.standby is not None:
@@ -98,7 +98,7 @@
             next_ones, messages.SUBSCRIBE_PRESENCE, messages.Updates(), now
         )
 
-    def remember(self, now: float) -> None:
+    def record_sent_loads(self, now: float) -> None:
         """Keeps what was reported, to be taken out of the relay's sums."""
         self.sent_loads.append((now, self.loads.own(now)))
         while (
