--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -439,7 +439,7 @@
         self.census.receive(summary.node_count, summary.partitioned, now)
         self.site.receive(summary.load_delta, now)
         others = loads_module.subtract(
-            self.site.loads(now), self.reports.own_part()
+            self.site.loads(now), self.reports.own_loads_at_relay()
         )
         self.loads.set_remote(
             relay.data_centre, others, now + loads_module.EXPIRY_SECONDS
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -107,7 +107,7 @@
         ):
             del self.sent_loads[0]
 
-    def own_part(self) -> messages.EngineLoads:
+    def own_loads_at_relay(self) -> messages.EngineLoads:
         """What the relay's sums have of this node by now."""
         if self.sent_loads:
             return self.sent_loads[0][1]
