--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -116,13 +116,13 @@
     def send(
         self,
         receivers: list[members_module.Member],
-        wants: int,
+        level: int,
         news: messages.Updates,
         now: float,
     ) -> None:
         """Sends a report, and notes who is asked for an answer by it."""
-        self.sender.report(receivers, wants, self.loads.own(now), news)
-        if wants < messages.SUBSCRIBE_HEARTBEATS:
+        self.sender.report(receivers, level, self.loads.own(now), news)
+        if level < messages.SUBSCRIBE_HEARTBEATS:
             return
         for member in receivers:
             self.relays.record_question(member.name, now)
