--- a/features/support/made_up.py
+++ b/features/support/made_up.py
@@ -234,7 +234,7 @@
         found = varied(draw, valid)
         if isinstance(found, list):
             found[1] = [draw(strategies.text(max_size=6)), *CONTACT[1:]]
-        return seals.HEAD + msgspec.msgpack.encode(found)
+        return seals.HEADER + msgspec.msgpack.encode(found)
 
     cut = strategies.tuples(message(), strategies.integers(0, 80)).map(
         lambda pair: pair[0][: pair[1]]
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/seals.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/seals.py
@@ -16,7 +16,7 @@
 VERSION = 2
 # Bytes of a seal: one in 2^128 guesses is right.
 SEAL_BYTES = 16
-HEAD = bytes([VERSION])
+HEADER = bytes([VERSION])
 
 
 class Sealer:
@@ -33,13 +33,13 @@
     def seal(self, data: bytes) -> bytes:
         """Makes a frame of a message."""
         if not self.keys:
-            return HEAD + data
-        return HEAD + seal(self.keys[0], data) + data
+            return HEADER + data
+        return HEADER + seal(self.keys[0], data) + data
 
     @property
     def overhead(self) -> int:
         """Bytes that a frame has beyond its message."""
-        return len(HEAD) + (SEAL_BYTES if self.keys else 0)
+        return len(HEADER) + (SEAL_BYTES if self.keys else 0)
 
     def open(self, frame: bytes) -> bytes:
         """Takes the message out of a frame.
@@ -48,7 +48,7 @@
             exceptions.RecordInvalid: It is of another version, or sealed
                 with none of the keys.
         """
-        if frame[:1] != HEAD:
+        if frame[:1] != HEADER:
             raise exceptions.RecordInvalid("a frame of another version")
         if not self.keys:
             return frame[1:]
