--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -9,7 +9,7 @@
 from gypsumfold.gateway.peers import seals
 
 # Nodes that a relay introduces to those which report to it.
-INTRODUCED = 3
+MAX_INTRODUCED = 3
 
 
 class Sender:
@@ -110,7 +110,7 @@
         """The nodes that rank highest in this data centre."""
         ranked = self.members.ranked(self.members.own.data_centre)
         found = []
-        for member in ranked[:INTRODUCED]:
+        for member in ranked[:MAX_INTRODUCED]:
             host, port = member.address
             found.append(
                 messages.Contact(
