--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -26,7 +26,7 @@
     def __init__(self, members: members_module.Members, sealer: seals.Sealer):
         self.members = members
         self.sealer = sealer
-        self.number = 0
+        self.sequence = 0
         self.transport: asyncio.DatagramTransport | None = None
         self.bytes_sent: collections.Counter[str] = collections.Counter()
 
@@ -49,10 +49,10 @@
         """Sends one report; what does not fit of the prompts is left out."""
         if not receivers:
             return
-        self.number += 1
+        self.sequence += 1
         report = messages.Report(
             self.contact(),
-            self.number,
+            self.sequence,
             wants,
             amounts,
             news,
@@ -73,8 +73,8 @@
         """
         size = 0
         for part in frames.split_summary(summary, self.sealer):
-            self.number += 1
-            part.sequence = self.number
+            self.sequence += 1
+            part.sequence = self.sequence
             data = frames.encode(part, self.sealer)
             self.send("summaries", data, receivers)
             size += len(data) * len(receivers)
@@ -91,9 +91,9 @@
         Returns:
             Bytes that were sent.
         """
-        self.number += 1
+        self.sequence += 1
         message = messages.CrashUpdate(
-            self.contact(), self.number, interrupted, canaries
+            self.contact(), self.sequence, interrupted, canaries
         )
         data = frames.encode(message, self.sealer)
         self.send("crashes", data, receivers)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -85,7 +85,7 @@
         if due.heartbeats:
             sign = messages.Summary(
                 self.sender.contact(),
-                self.sender.number,
+                self.sender.sequence,
                 nodes,
                 False,
                 messages.LoadDelta(),
@@ -101,7 +101,7 @@
             )
             summary = messages.Summary(
                 self.sender.contact(),
-                self.sender.number,
+                self.sender.sequence,
                 nodes,
                 False,
                 self.for_nodes.encode(self.loads.site_totals(now)),
@@ -125,7 +125,7 @@
         sums = self.relaying.data_centre_loads(self.loads.own(now))
         summary = messages.Summary(
             self.sender.contact(),
-            self.sender.number,
+            self.sender.sequence,
             1 + len(self.relaying.subscribers),
             True,
             self.for_relays.encode(sums),
