--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -41,7 +41,7 @@
     def report(
         self,
         receivers: list[members_module.Member],
-        wants: int,
+        level: int,
         amounts: messages.EngineLoads,
         news: messages.Updates,
         knowledge: messages.Knowledge | None = None,
@@ -53,7 +53,7 @@
         report = messages.Report(
             self.contact(),
             self.sequence,
-            wants,
+            level,
             amounts,
             news,
             knowledge,
