--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -42,7 +42,7 @@
         self,
         receivers: list[members_module.Member],
         level: int,
-        amounts: messages.EngineLoads,
+        loads: messages.EngineLoads,
         news: messages.Updates,
         knowledge: messages.Knowledge | None = None,
     ) -> None:
@@ -54,7 +54,7 @@
             self.contact(),
             self.sequence,
             level,
-            amounts,
+            loads,
             news,
             knowledge,
         )
