--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -43,7 +43,7 @@
         receivers: list[members_module.Member],
         level: int,
         loads: messages.EngineLoads,
-        news: messages.Updates,
+        updates: messages.Updates,
         knowledge: messages.Knowledge | None = None,
     ) -> None:
         """Sends one report; what does not fit of the prompts is left out."""
@@ -55,7 +55,7 @@
             self.sequence,
             level,
             loads,
-            news,
+            updates,
             knowledge,
         )
         data = frames.encode_report(report, self.sealer)
