--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -52,7 +52,7 @@
 
         One that does not reach the store learns who leaves by that.
         """
-        self.sender.report(
+        self.sender.send_report(
             list(self.members.known.values()),
             messages.SUBSCRIBE_NONE,
             self.loads.own(now),
@@ -121,7 +121,7 @@
         now: float,
     ) -> None:
         """Sends a report, and notes who is asked for an answer by it."""
-        self.sender.report(receivers, level, self.loads.own(now), news)
+        self.sender.send_report(receivers, level, self.loads.own(now), news)
         if level < messages.SUBSCRIBE_HEARTBEATS:
             return
         for member in receivers:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -38,7 +38,7 @@
         for member in receivers:
             self.transport.sendto(data, member.address)
 
-    def report(
+    def send_report(
         self,
         receivers: list[members_module.Member],
         level: int,
