--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -61,7 +61,7 @@
         data = frames.encode_report(report, self.sealer)
         self.send("reports", data, receivers)
 
-    def summary(
+    def send_summary(
         self,
         summary: messages.Summary,
         receivers: list[members_module.Member],
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -144,7 +144,7 @@
         now: float,
     ) -> None:
         """Sends a summary; sums and signs of life go out in any case."""
-        size = self.sender.summary(summary, receivers)
+        size = self.sender.send_summary(summary, receivers)
         self.bandwidth.spend(size, now)
 
     def most_placed(self, receivers: int, now: float) -> int:
