--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_news.py
@@ -95,7 +95,7 @@
         entries = max(len(news.interrupted), len(news.canaries))
         for start in range(0, entries, MAX_ENTRIES_PER_DATAGRAM):
             end = start + MAX_ENTRIES_PER_DATAGRAM
-            size = self.sender.crashes(
+            size = self.sender.send_crash_update(
                 news.interrupted[start:end], news.canaries[start:end], receivers
             )
             self.bandwidth.spend(size, now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -80,7 +80,7 @@
             size += len(data) * len(receivers)
         return size
 
-    def crashes(
+    def send_crash_update(
         self,
         interrupted: list[messages.Interrupted],
         canaries: list[messages.Canary],
