--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -51,7 +51,7 @@
             return
         self.sequence += 1
         report = messages.Report(
-            self.contact(),
+            self.own_contact(),
             self.sequence,
             level,
             loads,
@@ -93,13 +93,13 @@
         """
         self.sequence += 1
         message = messages.CrashUpdate(
-            self.contact(), self.sequence, interrupted, canaries
+            self.own_contact(), self.sequence, interrupted, canaries
         )
         data = frames.encode(message, self.sealer)
         self.send("crashes", data, receivers)
         return len(data) * len(receivers)
 
-    def contact(self) -> messages.Contact:
+    def own_contact(self) -> messages.Contact:
         """This node as others rank it."""
         own = self.members.own
         return messages.Contact(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -84,7 +84,7 @@
         knowledge = self.knowledge.outgoing(False) if self.knowledge else None
         if due.heartbeats:
             sign = messages.Summary(
-                self.sender.contact(),
+                self.sender.own_contact(),
                 self.sender.sequence,
                 nodes,
                 False,
@@ -100,7 +100,7 @@
                 self.directory.changing_until
             )
             summary = messages.Summary(
-                self.sender.contact(),
+                self.sender.own_contact(),
                 self.sender.sequence,
                 nodes,
                 False,
@@ -124,7 +124,7 @@
         )
         sums = self.relaying.data_centre_loads(self.loads.own(now))
         summary = messages.Summary(
-            self.sender.contact(),
+            self.sender.own_contact(),
             self.sender.sequence,
             1 + len(self.relaying.subscribers),
             True,
