--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -106,7 +106,7 @@
             own.name, own.node, own.data_centre, power=own.power
         )
 
-    def introduced(self) -> list[messages.Contact]:
+    def top_ranked_contacts(self) -> list[messages.Contact]:
         """The nodes that rank highest in this data centre."""
         ranked = self.members.ranked(self.members.own.data_centre)
         found = []
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -80,7 +80,7 @@
         self.count += 1
         introduced = []
         if due.heartbeats or self.count % INTRODUCING == 0:
-            introduced = self.sender.introduced()
+            introduced = self.sender.top_ranked_contacts()
         knowledge = self.knowledge.outgoing(False) if self.knowledge else None
         if due.heartbeats:
             sign = messages.Summary(
