--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -12,7 +12,7 @@
 
 # Summaries after which the best ranked nodes are introduced again: once a
 # second.
-INTRODUCING = 10
+SUMMARIES_PER_INTRODUCTION = 10
 # Bytes that a prompt takes in a summary.
 PLACED_BYTES = 60
 
@@ -79,7 +79,7 @@
             return
         self.count += 1
         introduced = []
-        if due.heartbeats or self.count % INTRODUCING == 0:
+        if due.heartbeats or self.count % SUMMARIES_PER_INTRODUCTION == 0:
             introduced = self.sender.top_ranked_contacts()
         knowledge = self.knowledge.outgoing(False) if self.knowledge else None
         if due.heartbeats:
