--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -14,7 +14,7 @@
 # second.
 SUMMARIES_PER_INTRODUCTION = 10
 # Bytes that a prompt takes in a summary.
-PLACED_BYTES = 60
+PLACEMENT_BYTES = 60
 
 
 class Knowledge(Protocol):
@@ -150,4 +150,4 @@
     def most_placed(self, receivers: int, now: float) -> int:
         """How many prompts the link bears in a summary to some nodes."""
         left = self.bandwidth.available(now)
-        return max(0, int(left / (PLACED_BYTES * receivers)))
+        return max(0, int(left / (PLACEMENT_BYTES * receivers)))
