--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -56,7 +56,7 @@
         self.sender = sender
         self.directory = directory
         self.knowledge: Knowledge | None = None
-        self.for_nodes = loads_module.new_encoder()
+        self.node_encoder = loads_module.new_encoder()
         self.for_relays = loads_module.new_encoder()
         self.count = 0
 
@@ -104,7 +104,7 @@
                 self.sender.sequence,
                 nodes,
                 False,
-                self.for_nodes.encode(self.loads.site_totals(now)),
+                self.node_encoder.encode(self.loads.site_totals(now)),
                 self.relaying.node_outbox.take(
                     now, self.most_placed(len(due.full), now)
                 ),
