--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -57,7 +57,7 @@
         self.directory = directory
         self.knowledge: Knowledge | None = None
         self.node_encoder = loads_module.new_encoder()
-        self.for_relays = loads_module.new_encoder()
+        self.relay_encoder = loads_module.new_encoder()
         self.count = 0
 
     def tell_nodes(
@@ -128,7 +128,7 @@
             self.sender.sequence,
             1 + len(self.relaying.subscribers),
             True,
-            self.for_relays.encode(sums),
+            self.relay_encoder.encode(sums),
             self.relaying.relay_outbox.take(
                 now, self.most_placed(len(targets), now)
             ),
