--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -63,7 +63,7 @@
     def tell_nodes(
         self,
         due: relaying_module.DueSubscribers,
-        nodes: int,
+        node_count: int,
         apart: bool,
         now: float,
     ) -> None:
@@ -86,7 +86,7 @@
             sign = messages.Summary(
                 self.sender.own_contact(),
                 self.sender.sequence,
-                nodes,
+                node_count,
                 False,
                 messages.LoadDelta(),
                 messages.Updates(),
@@ -102,7 +102,7 @@
             summary = messages.Summary(
                 self.sender.own_contact(),
                 self.sender.sequence,
-                nodes,
+                node_count,
                 False,
                 self.node_encoder.encode(self.loads.site_totals(now)),
                 self.relaying.node_outbox.take(
