--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -64,7 +64,7 @@
         self,
         due: relaying_module.DueSubscribers,
         node_count: int,
-        apart: bool,
+        partitioned: bool,
         now: float,
     ) -> None:
         """Tells the nodes of this data centre that report here.
@@ -92,7 +92,7 @@
                 messages.Updates(),
                 knowledge,
                 introduced,
-                apart,
+                partitioned,
             )
             self.send(sign, [one.member for one in due.heartbeats], now)
         if due.full:
@@ -110,7 +110,7 @@
                 ),
                 knowledge,
                 introduced,
-                apart,
+                partitioned,
             )
             self.send(summary, [one.member for one in due.full], now)
 
