--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -353,7 +353,7 @@
         self, due: relaying_module.DueSubscribers, now: float
     ) -> None:
         """Tells the nodes that report here what is new."""
-        self.summaries.tell_nodes(due, self.site_nodes(), self.apart(), now)
+        self.summaries.send_to_nodes(due, self.site_nodes(), self.apart(), now)
 
     def datagram_received(self, data: bytes, address) -> None:
         """Takes a peer's datagram in; older than the last one is dropped."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -60,7 +60,7 @@
         self.relay_encoder = loads_module.new_encoder()
         self.count = 0
 
-    def tell_nodes(
+    def send_to_nodes(
         self,
         due: relaying_module.DueSubscribers,
         node_count: int,
