--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -347,7 +347,7 @@
         due = self.relaying.due_subscribers(now)
         self.tell_nodes(due, now)
         if relays and self.relays.is_settled(now):
-            self.summaries.tell_relays(now)
+            self.summaries.send_to_relays(now)
 
     def tell_nodes(
         self, due: relaying_module.DueSubscribers, now: float
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -114,7 +114,7 @@
             )
             self.send(summary, [one.member for one in due.full], now)
 
-    def tell_relays(self, now: float) -> None:
+    def send_to_relays(self, now: float) -> None:
         """Tells the relays of the other data centres."""
         targets = self.relaying.relay_targets(now)
         if not targets:
