--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -106,7 +106,7 @@
                 False,
                 self.node_encoder.encode(self.loads.site_totals(now)),
                 self.relaying.node_outbox.take(
-                    now, self.most_placed(len(due.full), now)
+                    now, self.max_placements(len(due.full), now)
                 ),
                 knowledge,
                 introduced,
@@ -130,7 +130,7 @@
             True,
             self.relay_encoder.encode(sums),
             self.relaying.relay_outbox.take(
-                now, self.most_placed(len(targets), now)
+                now, self.max_placements(len(targets), now)
             ),
             # A relay that is cut off from the store hears of it by this.
             self.knowledge.outgoing(True) if self.knowledge else None,
@@ -147,7 +147,7 @@
         size = self.sender.send_summary(summary, receivers)
         self.bandwidth.spend(size, now)
 
-    def most_placed(self, receivers: int, now: float) -> int:
+    def max_placements(self, receivers: int, now: float) -> int:
         """How many prompts the link bears in a summary to some nodes."""
         left = self.bandwidth.available(now)
         return max(0, int(left / (PLACEMENT_BYTES * receivers)))
