--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -58,7 +58,7 @@
         self.knowledge: Knowledge | None = None
         self.node_encoder = loads_module.new_encoder()
         self.relay_encoder = loads_module.new_encoder()
-        self.count = 0
+        self.summary_count = 0
 
     def send_to_nodes(
         self,
@@ -77,9 +77,12 @@
         """
         if not due.full and not due.heartbeats:
             return
-        self.count += 1
+        self.summary_count += 1
         introduced = []
-        if due.heartbeats or self.count % SUMMARIES_PER_INTRODUCTION == 0:
+        if (
+            due.heartbeats
+            or self.summary_count % SUMMARIES_PER_INTRODUCTION == 0
+        ):
             introduced = self.sender.top_ranked_contacts()
         knowledge = self.knowledge.outgoing(False) if self.knowledge else None
         if due.heartbeats:
