--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -44,7 +44,7 @@
 
 # Seconds between two datagrams to the same peer at the least: a prompt takes
 # several times as long to read.
-INTERVAL = 0.03
+MIN_REPORT_INTERVAL_SECONDS = 0.03
 # Datagrams a second that one node sends at most; with more than four peers
 # the interval grows. Each costs sender and receiver about 30 us.
 MOST_DATAGRAMS = 150
@@ -244,7 +244,7 @@
             if self.meshed:
                 self.urgent.clear()
             self.report(self.clock())
-            pause = INTERVAL
+            pause = MIN_REPORT_INTERVAL_SECONDS
             if self.meshed:
                 pause = max(pause, len(self.members.known) / MOST_DATAGRAMS)
             with contextlib.suppress(TimeoutError):
