--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -47,7 +47,7 @@
 MIN_REPORT_INTERVAL_SECONDS = 0.03
 # Datagrams a second that one node sends at most; with more than four peers
 # the interval grows. Each costs sender and receiver about 30 us.
-MOST_DATAGRAMS = 150
+MAX_DATAGRAMS_PER_SECOND = 150
 # Seconds between two messages of a relay: a third of the time that a prompt
 # takes to be read, at ten datagrams a second for each node.
 TICK = 0.1
@@ -246,7 +246,9 @@
             self.report(self.clock())
             pause = MIN_REPORT_INTERVAL_SECONDS
             if self.meshed:
-                pause = max(pause, len(self.members.known) / MOST_DATAGRAMS)
+                pause = max(
+                    pause, len(self.members.known) / MAX_DATAGRAMS_PER_SECOND
+                )
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(pause):
                     await self.urgent.wait()
