--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -50,7 +50,7 @@
 MAX_DATAGRAMS_PER_SECOND = 150
 # Seconds between two messages of a relay: a third of the time that a prompt
 # takes to be read, at ten datagrams a second for each node.
-TICK = 0.1
+RELAY_INTERVAL_SECONDS = 0.1
 # Seconds between two messages at the least, however urgent they are.
 GAP = 0.02
 # Seconds after which what is sent at once is known everywhere, also where the
@@ -257,7 +257,7 @@
         """Looks for a relay, and relays where this node is the one."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK - GAP):
+                async with asyncio.timeout(RELAY_INTERVAL_SECONDS - GAP):
                     await self.urgent.wait()
             await asyncio.sleep(GAP)
             if self.meshed:
