--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -52,7 +52,7 @@
 # takes to be read, at ten datagrams a second for each node.
 RELAY_INTERVAL_SECONDS = 0.1
 # Seconds between two messages at the least, however urgent they are.
-GAP = 0.02
+MIN_SEND_INTERVAL_SECONDS = 0.02
 # Seconds after which what is sent at once is known everywhere, also where the
 # first datagram was lost.
 SPREAD = 0.05
@@ -257,9 +257,11 @@
         """Looks for a relay, and relays where this node is the one."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(RELAY_INTERVAL_SECONDS - GAP):
+                async with asyncio.timeout(
+                    RELAY_INTERVAL_SECONDS - MIN_SEND_INTERVAL_SECONDS
+                ):
                     await self.urgent.wait()
-            await asyncio.sleep(GAP)
+            await asyncio.sleep(MIN_SEND_INTERVAL_SECONDS)
             if self.meshed:
                 continue
             self.urgent.clear()
