--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -56,7 +56,7 @@
 # Seconds after which what is sent at once is known everywhere, also where the
 # first datagram was lost.
 PROPAGATION_SECONDS = 0.05
-SPREAD_BY_RELAYS = 0.25
+RELAYED_PROPAGATION_SECONDS = 0.25
 # Seconds between two full datagrams where nothing changes.
 REFRESH = 1.0
 
@@ -573,7 +573,9 @@
 
     def spread(self) -> float:
         """Seconds until all nodes have what was sent at once."""
-        return PROPAGATION_SECONDS if self.meshed else SPREAD_BY_RELAYS
+        return (
+            PROPAGATION_SECONDS if self.meshed else RELAYED_PROPAGATION_SECONDS
+        )
 
     def crash_receivers(self) -> list[members_module.Member]:
         """Whom this node sends what it knows of requests that crash replicas.
