--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -99,7 +99,7 @@
             gossip.choose(now)
             gossip.repeat(now)
             gossip.tell(now)
-        if changed or now - self.reported >= gossip_module.REFRESH:
+        if changed or now - self.reported >= gossip_module.REFRESH_SECONDS:
             gossip.again = changed
             gossip.changed.clear()
             self.reported = now
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -58,7 +58,7 @@
 PROPAGATION_SECONDS = 0.05
 RELAYED_PROPAGATION_SECONDS = 0.25
 # Seconds between two full datagrams where nothing changes.
-REFRESH = 1.0
+REFRESH_SECONDS = 1.0
 
 
 class Gossip(asyncio.DatagramProtocol):
@@ -237,7 +237,7 @@
         """Sends reports for as long as the node runs."""
         while True:
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(REFRESH):
+                async with asyncio.timeout(REFRESH_SECONDS):
                     await self.changed.wait()
             self.again = self.changed.is_set()
             self.changed.clear()
@@ -286,7 +286,7 @@
         choice = self.choice
         if choice.relay is None:
             # Its own news go out with its next summary.
-            if now - self.noticed >= REFRESH:
+            if now - self.noticed >= REFRESH_SECONDS:
                 self.notice(now)
             return
         # All get the same news; each is told what it is asked for.
