--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -119,7 +119,7 @@
             lambda: self.clock(),
         )
         self.entries.on_mesh_exceeded = self.leave_mesh
-        self.entries.on_node_removed = self.drop
+        self.entries.on_node_removed = self.drop_node
         self.census = node_count_module.NodeCount(
             self.members, self.entries.others
         )
@@ -172,7 +172,7 @@
         relays = not self.meshed and self.choice.relay is None
         return relays and member.data_centre == own
 
-    def drop(self, name: str) -> None:
+    def drop_node(self, name: str) -> None:
         """Forgets a node that has left or is gone."""
         self.members.remove(name)
         self.relays.forget(name)
