--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -141,7 +141,7 @@
         self.changed = asyncio.Event()
         self.urgent = asyncio.Event()
         homes.listener = self
-        directory.unreachable_listeners.append(self.not_reached)
+        directory.unreachable_listeners.append(self.report_unreachable)
         directory.removal_listeners.append(self.forget)
 
     def can_observe(self, member: members_module.Member) -> bool:
@@ -192,7 +192,7 @@
         self.outbox.add_placement(messages.Placement(engine, links, tokens))
         self.changed.set()
 
-    def not_reached(self, instance: str) -> None:
+    def report_unreachable(self, instance: str) -> None:
         """Lets the other nodes look after a replica as well."""
         self.outbox.add_unreachable(instance)
         self.changed.set()
