--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -142,7 +142,7 @@
         self.urgent = asyncio.Event()
         homes.listener = self
         directory.unreachable_listeners.append(self.report_unreachable)
-        directory.removal_listeners.append(self.forget)
+        directory.removal_listeners.append(self.forget_replica)
 
     def can_observe(self, member: members_module.Member) -> bool:
         """Whether this node would hear another one, if that ran.
@@ -197,7 +197,7 @@
         self.outbox.add_unreachable(instance)
         self.changed.set()
 
-    def forget(self, replica: types.Replica) -> None:
+    def forget_replica(self, replica: types.Replica) -> None:
         """Says no more of an engine that is gone or has started again."""
         for outbox in self.outboxes():
             outbox.forget(replica.instance)
