--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -214,7 +214,7 @@
         """Notes that this node has less at an engine."""
         self.changed.set()
 
-    def closed(self, engine: str, seconds: float) -> None:
+    def announce_closing(self, engine: str, seconds: float) -> None:
         """Tells all nodes that an engine gets no work for a while."""
         until = self.clock() + seconds
         if self.outbox.add_closing(engine, until, self.born(engine)):
--- a/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
@@ -248,7 +248,7 @@
         requests that the engine would have to refuse.
         """
         self.directory.close_until(instance, time.monotonic() + seconds)
-        self.gossip.closed(instance, seconds)
+        self.gossip.announce_closing(instance, seconds)
 
     def follow_role_change(
         self,
