--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -221,7 +221,7 @@
             self.urgent.set()
         self.changed.set()
 
-    def changed_role(
+    def announce_role(
         self, engine: str, role: decision_types.Role, seconds: float
     ) -> None:
         """Notes that an engine has its new role."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/role_planning.py
@@ -300,5 +300,5 @@
                 continue
             until = time.monotonic() + CONFIRMED_SECONDS
             self.directory.confirm_role(replica.instance, role, until)
-            self.gossip.changed_role(replica.instance, role, CONFIRMED_SECONDS)
+            self.gossip.announce_role(replica.instance, role, CONFIRMED_SECONDS)
             return
