--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -217,7 +217,7 @@
     def announce_closing(self, engine: str, seconds: float) -> None:
         """Tells all nodes that an engine gets no work for a while."""
         until = self.clock() + seconds
-        if self.outbox.add_closing(engine, until, self.born(engine)):
+        if self.outbox.add_closing(engine, until, self.start_time(engine)):
             self.urgent.set()
         self.changed.set()
 
@@ -226,10 +226,10 @@
     ) -> None:
         """Notes that an engine has its new role."""
         until = self.clock() + seconds
-        self.outbox.add_role(engine, role.value, until, self.born(engine))
+        self.outbox.add_role(engine, role.value, until, self.start_time(engine))
         self.changed.set()
 
-    def born(self, engine: str) -> int:
+    def start_time(self, engine: str) -> int:
         """The newest known start of an engine; 0 if it does not say."""
         return self.directory.incarnations.known_starts([engine]).get(engine, 0)
 
