--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -164,7 +164,7 @@
             "entries", lambda: gateway.gossip.entries.run(gateway.gossip)
         )
         gateway.supervise("gossip", gateway.gossip.run)
-        gateway.supervise("relay", gateway.gossip.relay)
+        gateway.supervise("relay", gateway.gossip.run_relay)
         gateway.supervise("crash-news", gateway.gossip.crash_news.run)
         for name, watch in gateway.watches.items():
             gateway.supervise(f"watch-{name}", watch.run)
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -284,7 +284,7 @@
         await self.gossip.start()
         self.supervise("entries", lambda: self.gossip.entries.run(self.gossip))
         self.supervise("gossip", self.gossip.run)
-        self.supervise("relay", self.gossip.relay)
+        self.supervise("relay", self.gossip.run_relay)
         self.supervise("crash-news", self.gossip.crash_news.run)
         for name, watch in self.watches.items():
             self.supervise(f"watch-{name}", watch.run)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -253,7 +253,7 @@
                 async with asyncio.timeout(pause):
                     await self.urgent.wait()
 
-    async def relay(self) -> None:
+    async def run_relay(self) -> None:
         """Looks for a relay, and relays where this node is the one."""
         while True:
             with contextlib.suppress(TimeoutError):
