--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -97,7 +97,7 @@
         if not gossip.meshed:
             gossip.relaying.expire(now)
             gossip.choose(now)
-            gossip.repeat(now)
+            gossip.resend_to_relay(now)
             gossip.tell(now)
         if changed or now - self.reported >= gossip_module.REFRESH_SECONDS:
             gossip.again = changed
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -268,10 +268,10 @@
             now = self.clock()
             self.relaying.expire(now)
             self.choose(now)
-            self.repeat(now)
+            self.resend_to_relay(now)
             self.tell(now)
 
-    def repeat(self, now: float) -> None:
+    def resend_to_relay(self, now: float) -> None:
         """Sends a relay what has changed a second time: datagrams get lost."""
         if self.again and self.choice.relay is not None:
             self.again = False
