--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -103,7 +103,7 @@
             gossip.again = changed
             gossip.changed.clear()
             self.reported = now
-            gossip.report(now)
+            gossip.send_report(now)
         if now - self.looked >= entries_module.CHECK_INTERVAL_SECONDS:
             self.looked = now
             finish(gossip.entries.check(gossip))
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -243,7 +243,7 @@
             self.changed.clear()
             if self.meshed:
                 self.urgent.clear()
-            self.report(self.clock())
+            self.send_report(self.clock())
             pause = MIN_REPORT_INTERVAL_SECONDS
             if self.meshed:
                 pause = max(
@@ -275,9 +275,9 @@
         """Sends a relay what has changed a second time: datagrams get lost."""
         if self.again and self.choice.relay is not None:
             self.again = False
-            self.report(now)
+            self.send_report(now)
 
-    def report(self, now: float) -> None:
+    def send_report(self, now: float) -> None:
         """Tells what this node has, to its relay or to every node."""
         if self.meshed:
             knowledge = self.summaries.knowledge
@@ -333,7 +333,7 @@
                 self.loads.set_remote(
                     subscriber.member.name, subscriber.loads, until
                 )
-        self.report(now)
+        self.send_report(now)
 
     def leave_mesh(self) -> None:
         """Reports to a relay from now on."""
