--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -187,8 +187,10 @@
             self.read_timeouts,
         )
         self.gossip.summaries.knowledge = self.store_copy
-        self.registrations.on_change = self.gossip.read
-        self.configurations.listeners.append(lambda _: self.gossip.read())
+        self.registrations.on_change = self.gossip.note_store_read
+        self.configurations.listeners.append(
+            lambda _: self.gossip.note_store_read()
+        )
         self.answers.sources[questions.REGISTRATIONS] = (
             self.store_copy.encode_registrations
         )
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -292,7 +292,7 @@
         # All get the same news; each is told what it is asked for.
         self.reports.send_to_relay(choice, self.news(now), now)
 
-    def read(self) -> None:
+    def note_store_read(self) -> None:
         """Notes that this node has read something new in the store."""
         if self.meshed:
             self.changed.set()
