--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -287,7 +287,7 @@
         if choice.relay is None:
             # Its own news go out with its next summary.
             if now - self.noticed >= REFRESH_SECONDS:
-                self.notice(now)
+                self.announce(now)
             return
         # All get the same news; each is told what it is asked for.
         self.reports.send_to_relay(choice, self.news(now), now)
@@ -297,7 +297,7 @@
         if self.meshed:
             self.changed.set()
 
-    def notice(self, now: float) -> None:
+    def announce(self, now: float) -> None:
         """Makes this node known to those that could relay as well."""
         self.noticed = now
         self.reports.announce(self.choice, now)
@@ -314,7 +314,7 @@
         self.choice = self.relays.choose(now)
         relay = self.choice.relay
         if relay is None and self.choice.asked != asked:
-            self.notice(now)
+            self.announce(now)
         if relay == before and self.chosen:
             return
         self.chosen = True
