--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -281,7 +281,7 @@
         """Tells what this node has, to its relay or to every node."""
         if self.meshed:
             knowledge = self.summaries.knowledge
-            self.reports.send_to_all(self.news(now), knowledge, now)
+            self.reports.send_to_all(self.take_updates(now), knowledge, now)
             return
         choice = self.choice
         if choice.relay is None:
@@ -290,7 +290,7 @@
                 self.announce(now)
             return
         # All get the same news; each is told what it is asked for.
-        self.reports.send_to_relay(choice, self.news(now), now)
+        self.reports.send_to_relay(choice, self.take_updates(now), now)
 
     def note_store_read(self) -> None:
         """Notes that this node has read something new in the store."""
@@ -302,7 +302,7 @@
         self.noticed = now
         self.reports.announce(self.choice, now)
 
-    def news(self, now: float) -> messages.Updates:
+    def take_updates(self, now: float) -> messages.Updates:
         """This node's own news, to be told once."""
         self.outbox.retain_closings(self.directory.changing_until)
         return self.outbox.take(now)
@@ -347,7 +347,7 @@
         """Tells those who report here, and other relays, what is new."""
         relays = self.choice.relay is None
         if relays:
-            self.pass_on(self.news(now), now)
+            self.pass_on(self.take_updates(now), now)
         due = self.relaying.due_subscribers(now)
         self.tell_nodes(due, now)
         if relays and self.relays.is_settled(now):
