--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -96,7 +96,7 @@
         changed = gossip.changed.is_set()
         if not gossip.meshed:
             gossip.relaying.expire(now)
-            gossip.choose(now)
+            gossip.choose_relay(now)
             gossip.resend_to_relay(now)
             gossip.tell(now)
         if changed or now - self.reported >= gossip_module.REFRESH_SECONDS:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -267,7 +267,7 @@
             self.urgent.clear()
             now = self.clock()
             self.relaying.expire(now)
-            self.choose(now)
+            self.choose_relay(now)
             self.resend_to_relay(now)
             self.tell(now)
 
@@ -307,7 +307,7 @@
         self.outbox.retain_closings(self.directory.changing_until)
         return self.outbox.take(now)
 
-    def choose(self, now: float) -> None:
+    def choose_relay(self, now: float) -> None:
         """Looks for the relay again, and changes over to another one."""
         before = self.choice.relay
         asked = self.choice.asked
@@ -341,7 +341,7 @@
             return
         self.meshed = False
         self.loads.clear_remote()
-        self.choose(self.clock())
+        self.choose_relay(self.clock())
 
     def tell(self, now: float) -> None:
         """Tells those who report here, and other relays, what is new."""
@@ -436,7 +436,7 @@
         self.meet(summary.members, now)
         self.relays.record_answer(member.name, now)
         if self.choice.relay is None or member.name != self.choice.relay.name:
-            self.choose(now)
+            self.choose_relay(now)
         relay = self.choice.relay
         if relay is None or member.name != relay.name:
             return
