--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -98,7 +98,7 @@
             gossip.relaying.expire(now)
             gossip.choose_relay(now)
             gossip.resend_to_relay(now)
-            gossip.tell(now)
+            gossip.send_summaries(now)
         if changed or now - self.reported >= gossip_module.REFRESH_SECONDS:
             gossip.again = changed
             gossip.changed.clear()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -269,7 +269,7 @@
             self.relaying.expire(now)
             self.choose_relay(now)
             self.resend_to_relay(now)
-            self.tell(now)
+            self.send_summaries(now)
 
     def resend_to_relay(self, now: float) -> None:
         """Sends a relay what has changed a second time: datagrams get lost."""
@@ -343,7 +343,7 @@
         self.loads.clear_remote()
         self.choose_relay(self.clock())
 
-    def tell(self, now: float) -> None:
+    def send_summaries(self, now: float) -> None:
         """Tells those who report here, and other relays, what is new."""
         relays = self.choice.relay is None
         if relays:
