--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -349,11 +349,11 @@
         if relays:
             self.pass_on(self.take_updates(now), now)
         due = self.relaying.due_subscribers(now)
-        self.tell_nodes(due, now)
+        self.send_to_nodes(due, now)
         if relays and self.relays.is_settled(now):
             self.summaries.send_to_relays(now)
 
-    def tell_nodes(
+    def send_to_nodes(
         self, due: relaying_module.DueSubscribers, now: float
     ) -> None:
         """Tells the nodes that report here what is new."""
@@ -412,7 +412,7 @@
         if self.relaying.receive_report(member, report, now):
             # It waits for an answer to know that somebody relays.
             due = self.relaying.due_subscribers(now)
-            self.tell_nodes(due, now)
+            self.send_to_nodes(due, now)
         if self.choice.relay is None:
             self.loads.set_remote(member.name, report.loads, until)
         self.beliefs.apply(report.updates, now)
