--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -388,11 +388,11 @@
         if isinstance(message, messages.CrashUpdate):
             self.crashes.merge_message(message)
         elif isinstance(message, messages.Report):
-            self.hear_report(member, message, now)
+            self.receive_report(member, message, now)
         else:
             self.hear_summary(member, message, now)
 
-    def hear_report(
+    def receive_report(
         self,
         member: members_module.Member,
         report: messages.Report,
