--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -390,7 +390,7 @@
         elif isinstance(message, messages.Report):
             self.receive_report(member, message, now)
         else:
-            self.hear_summary(member, message, now)
+            self.receive_summary(member, message, now)
 
     def receive_report(
         self,
@@ -419,7 +419,7 @@
         if report.subscription_level == messages.SUBSCRIBE_ALL:
             self.pass_on(report.updates, now)
 
-    def hear_summary(
+    def receive_summary(
         self,
         member: members_module.Member,
         summary: messages.Summary,
