--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -453,13 +453,13 @@
     def hear_knowledge(
         self,
         member: members_module.Member,
-        told: messages.Knowledge | None,
+        received: messages.Knowledge | None,
         between: bool,
     ) -> None:
         """Takes in what another node knows from the store."""
         knowledge = self.summaries.knowledge
-        if told is not None and knowledge is not None:
-            knowledge.receive(told, member.address, between)
+        if received is not None and knowledge is not None:
+            knowledge.receive(received, member.address, between)
 
     def hear_between(
         self,
