--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -403,7 +403,7 @@
         if report.subscription_level == messages.SUBSCRIBE_NONE:
             if self.meshed:
                 self.loads.set_remote(member.name, report.loads, until)
-                self.hear_knowledge(member, report.knowledge, True)
+                self.receive_knowledge(member, report.knowledge, True)
             else:
                 self.relaying.add_mesh_node(member, now)
             self.beliefs.apply(report.updates, now)
@@ -427,7 +427,7 @@
     ) -> None:
         """Takes in what a relay tells."""
         self.leave_mesh()
-        self.hear_knowledge(member, summary.knowledge, summary.to_relays)
+        self.receive_knowledge(member, summary.knowledge, summary.to_relays)
         if summary.to_relays:
             self.hear_between(member, summary, now)
             return
@@ -450,7 +450,7 @@
         )
         self.beliefs.apply(summary.updates, now)
 
-    def hear_knowledge(
+    def receive_knowledge(
         self,
         member: members_module.Member,
         received: messages.Knowledge | None,
