--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -429,7 +429,7 @@
         self.leave_mesh()
         self.receive_knowledge(member, summary.knowledge, summary.to_relays)
         if summary.to_relays:
-            self.hear_between(member, summary, now)
+            self.receive_relay_summary(member, summary, now)
             return
         if member.data_centre != self.members.own.data_centre:
             return
@@ -461,7 +461,7 @@
         if received is not None and knowledge is not None:
             knowledge.receive(received, member.address, between)
 
-    def hear_between(
+    def receive_relay_summary(
         self,
         member: members_module.Member,
         summary: messages.Summary,
