--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -347,7 +347,7 @@
         """Tells those who report here, and other relays, what is new."""
         relays = self.choice.relay is None
         if relays:
-            self.pass_on(self.take_updates(now), now)
+            self.forward(self.take_updates(now), now)
         due = self.relaying.due_subscribers(now)
         self.send_to_nodes(due, now)
         if relays and self.relays.is_settled(now):
@@ -417,7 +417,7 @@
             self.loads.set_remote(member.name, report.loads, until)
         self.beliefs.apply(report.updates, now)
         if report.subscription_level == messages.SUBSCRIBE_ALL:
-            self.pass_on(report.updates, now)
+            self.forward(report.updates, now)
 
     def receive_summary(
         self,
@@ -482,7 +482,7 @@
             if self.relaying.node_outbox.add_updates(summary.updates, now):
                 self.urgent.set()
 
-    def pass_on(self, news: messages.Updates, now: float) -> None:
+    def forward(self, news: messages.Updates, now: float) -> None:
         """Tells others what a node of this data centre has told."""
         self.relaying.relay_outbox.add_updates(news, now)
         if self.relaying.node_outbox.add_updates(news, now):
