--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -433,7 +433,7 @@
             return
         if member.data_centre != self.members.own.data_centre:
             return
-        self.meet(summary.members, now)
+        self.add_contacts(summary.members, now)
         self.relays.record_answer(member.name, now)
         if self.choice.relay is None or member.name != self.choice.relay.name:
             self.choose_relay(now)
@@ -488,7 +488,9 @@
         if self.relaying.node_outbox.add_updates(news, now):
             self.urgent.set()
 
-    def meet(self, contacts: list[messages.Contact], now: float) -> None:
+    def add_contacts(
+        self, contacts: list[messages.Contact], now: float
+    ) -> None:
         """Takes in the nodes that a relay introduces."""
         for contact in contacts:
             try:
