--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -70,7 +70,7 @@
             if self.gossip.leads():
                 await self.ask_engines()
                 self.has_lists |= bool(self.asked)
-            elif not self.gossip.reads() and not self.has_lists:
+            elif not self.gossip.is_store_reader() and not self.has_lists:
                 await self.ask_relay()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -148,7 +148,7 @@
             self.quarantine,
         )
         self.crash_records = crash_records_module.CrashRecords(
-            self.store, self.quarantine, self.gossip.reads
+            self.store, self.quarantine, self.gossip.is_store_reader
         )
         self.questions = questions.QueryClient(self.session, self.gossip.sealer)
         self.cache_lists = cache_lists.CacheLists(
@@ -182,7 +182,7 @@
             self.configurations,
             self.watches["registrations"],
             self.watches["configuration"],
-            self.gossip.reads,
+            self.gossip.is_store_reader,
             self.questions,
             self.read_timeouts,
         )
@@ -230,12 +230,12 @@
             ),
         }
         nodes = watches["nodes"]
-        nodes.is_reader = self.gossip.reads
+        nodes.is_reader = self.gossip.is_store_reader
         entries = self.gossip.entries
         entries.on_readable = nodes.wake.set
         nodes.should_read = lambda: (
             entries.can_read()
-            and (self.gossip.reads() or not nodes.has_read_all)
+            and (self.gossip.is_store_reader() or not nodes.has_read_all)
         )
         return watches
 
@@ -391,7 +391,7 @@
         """Updates the gauges of nodes, relays, crashes and store calls."""
         age = self.watches["registrations"].staleness.age(clocks.now())
         self.counters.nodes.set(self.gossip.nodes())
-        self.counters.relays.set(int(self.gossip.reads()))
+        self.counters.relays.set(int(self.gossip.is_store_reader()))
         self.counters.registrations_age.set(age)
         crashes = self.quarantine.crash_log
         self.counters.suspected.set(len(crashes.suspected))
@@ -404,7 +404,11 @@
         calls = self.store.calls - self.logged_calls
         self.logged_calls = self.store.calls.copy()
         if calls:
-            events.log(events.STORE_CALLED, reads=self.gossip.reads(), **calls)
+            events.log(
+                events.STORE_CALLED,
+                reads=self.gossip.is_store_reader(),
+                **calls,
+            )
 
     def log_datagrams(self) -> None:
         """Logs the kilobytes sent to other nodes since the last line."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -510,7 +510,7 @@
     def error_received(self, error: Exception) -> None:
         """Nothing depends on a datagram; a dead peer's entry goes later."""
 
-    def reads(self) -> bool:
+    def is_store_reader(self) -> bool:
         """Whether this node reads the store for itself, and for others."""
         return self.meshed or self.choice.relay is None
 
@@ -525,7 +525,11 @@
         One that starts knows that once it has read who else takes part, and
         none that ranks higher has still to answer.
         """
-        return self.entries.read_once and self.reads() and not self.choice.asked
+        return (
+            self.entries.read_once
+            and self.is_store_reader()
+            and not self.choice.asked
+        )
 
     def readers(self) -> int:
         """How many nodes read the store for all."""
