--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -67,7 +67,7 @@
         """Asks the engines, or the relay that asked them, after startup."""
         self.started = True
         for _ in range(MAX_CHECKS):
-            if self.gossip.leads():
+            if self.gossip.is_confirmed_reader():
                 await self.ask_engines()
                 self.has_lists |= bool(self.asked)
             elif not self.gossip.is_store_reader() and not self.has_lists:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -519,7 +519,7 @@
         relay = self.choice.relay
         return None if relay is None else relay.address
 
-    def leads(self) -> bool:
+    def is_confirmed_reader(self) -> bool:
         """Whether this node surely reads for itself and others.
 
         One that starts knows that once it has read who else takes part, and
