--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -254,7 +254,8 @@
         if not self.gossip.meshed and not watch.has_new_records:
             return 0.0
         return polling.poll_interval(
-            self.gossip.readers(), self.settings.replicas.leaving_ms / 1000
+            self.gossip.store_reader_count(),
+            self.settings.replicas.leaving_ms / 1000,
         )
 
     def registrations_wait(self) -> float:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -531,7 +531,7 @@
             and not self.choice.asked
         )
 
-    def readers(self) -> int:
+    def store_reader_count(self) -> int:
         """How many nodes read the store for all."""
         if self.meshed:
             return self.nodes()
