--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -194,7 +194,7 @@
         self.answers.sources[questions.REGISTRATIONS] = (
             self.store_copy.encode_registrations
         )
-        self.leadership.is_candidate = self.gossip.may_lead
+        self.leadership.is_candidate = self.gossip.can_lead
         self.directory.removal_listeners.append(self.forget)
         self.runners: list[web.ServerRunner] = []
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -537,7 +537,7 @@
             return self.nodes()
         return len(self.members.data_centres())
 
-    def may_lead(self) -> bool:
+    def can_lead(self) -> bool:
         """Whether this node offers to give orders to engines."""
         if self.meshed:
             return self.entries.read_once
