--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -391,7 +391,7 @@
     def update_gauges(self) -> None:
         """Updates the gauges of nodes, relays, crashes and store calls."""
         age = self.watches["registrations"].staleness.age(clocks.now())
-        self.counters.nodes.set(self.gossip.nodes())
+        self.counters.nodes.set(self.gossip.node_count())
         self.counters.relays.set(int(self.gossip.is_store_reader()))
         self.counters.registrations_age.set(age)
         crashes = self.quarantine.crash_log
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -534,7 +534,7 @@
     def store_reader_count(self) -> int:
         """How many nodes read the store for all."""
         if self.meshed:
-            return self.nodes()
+            return self.node_count()
         return len(self.members.data_centres())
 
     def can_lead(self) -> bool:
@@ -543,7 +543,7 @@
             return self.entries.read_once
         return self.relays.is_settled(self.clock())
 
-    def nodes(self) -> int:
+    def node_count(self) -> int:
         """Counts the nodes that were heard of lately, this one included."""
         now = self.clock()
         if self.meshed:
@@ -556,7 +556,7 @@
         """Counts the site's nodes as those are told that follow this one."""
         if self.follows():
             return self.census.highest
-        return self.census.with_entries(self.nodes())
+        return self.census.with_entries(self.node_count())
 
     def sharing(self) -> int:
         """Counts the nodes that share what the site has once; 0 if unknown."""
@@ -571,7 +571,7 @@
         """Whether the others may share what the site has without this node."""
         if self.follows():
             return self.census.partitioned
-        return self.census.is_partitioned(self.nodes(), self.clock())
+        return self.census.is_partitioned(self.node_count(), self.clock())
 
     def relays_for_others(self) -> bool:
         """Whether this node passes on what other nodes send."""
