--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -357,7 +357,9 @@
         self, due: relaying_module.DueSubscribers, now: float
     ) -> None:
         """Tells the nodes that report here what is new."""
-        self.summaries.send_to_nodes(due, self.site_nodes(), self.apart(), now)
+        self.summaries.send_to_nodes(
+            due, self.site_node_count(), self.apart(), now
+        )
 
     def datagram_received(self, data: bytes, address) -> None:
         """Takes a peer's datagram in; older than the last one is dropped."""
@@ -552,7 +554,7 @@
             self.census.record(self.relaying.node_count(), now)
         return self.census.highest
 
-    def site_nodes(self) -> int:
+    def site_node_count(self) -> int:
         """Counts the site's nodes as those are told that follow this one."""
         if self.follows():
             return self.census.highest
@@ -565,7 +567,7 @@
             return 0
         if self.follows() and not self.census.received:
             return 0
-        return self.site_nodes()
+        return self.site_node_count()
 
     def apart(self) -> bool:
         """Whether the others may share what the site has without this node."""
