--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -560,7 +560,7 @@
             return self.census.highest
         return self.census.with_entries(self.node_count())
 
-    def sharing(self) -> int:
+    def sharing_node_count(self) -> int:
         """Counts the nodes that share what the site has once; 0 if unknown."""
         known_for = self.clock() - self.entries.others.first_read_at
         if known_for < node_count_module.STARTUP_SECONDS:
