--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -376,7 +376,7 @@
     def share_retries(self) -> None:
         """Divides the site's retry budget by the number of known nodes."""
         nodes = self.gossip.sharing_node_count()
-        apart = self.gossip.apart()
+        apart = self.gossip.is_partitioned()
         if (nodes, apart) == (self.budget.nodes, self.budget.partitioned):
             return
         events.log(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -358,7 +358,7 @@
     ) -> None:
         """Tells the nodes that report here what is new."""
         self.summaries.send_to_nodes(
-            due, self.site_node_count(), self.apart(), now
+            due, self.site_node_count(), self.is_partitioned(), now
         )
 
     def datagram_received(self, data: bytes, address) -> None:
@@ -569,7 +569,7 @@
             return 0
         return self.site_node_count()
 
-    def apart(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Whether the others may share what the site has without this node."""
         if self.follows():
             return self.census.partitioned
