--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -421,7 +421,7 @@
         if kilobytes:
             events.log(
                 events.DATAGRAMS_SENT,
-                relays=self.gossip.relays_for_others(),
+                relays=self.gossip.is_relay(),
                 **kilobytes,
             )
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -105,7 +105,7 @@
             self.crash_receivers,
         )
         crashes.notify_peers = self.crash_news.due.set
-        crashes.is_relay = self.relays_for_others
+        crashes.is_relay = self.is_relay
         crashes.propagation_time = self.spread
         self.reports = reports_module.Reports(
             self.members, self.relays, self.loads, self.sender
@@ -575,7 +575,7 @@
             return self.census.partitioned
         return self.census.is_partitioned(self.node_count(), self.clock())
 
-    def relays_for_others(self) -> bool:
+    def is_relay(self) -> bool:
         """Whether this node passes on what other nodes send."""
         return not self.meshed and self.choice.relay is None
 
