--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -106,7 +106,7 @@
         )
         crashes.notify_peers = self.crash_news.due.set
         crashes.is_relay = self.is_relay
-        crashes.propagation_time = self.spread
+        crashes.propagation_time = self.propagation_time
         self.reports = reports_module.Reports(
             self.members, self.relays, self.loads, self.sender
         )
@@ -579,7 +579,7 @@
         """Whether this node passes on what other nodes send."""
         return not self.meshed and self.choice.relay is None
 
-    def spread(self) -> float:
+    def propagation_time(self) -> float:
         """Seconds until all nodes have what was sent at once."""
         return (
             PROPAGATION_SECONDS if self.meshed else RELAYED_PROPAGATION_SECONDS
