--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -102,7 +102,7 @@
             self.sender,
             crashes,
             bandwidth.Bandwidth(link, bandwidth.CRASHES_SHARE),
-            self.crash_receivers,
+            self.crash_update_receivers,
         )
         crashes.notify_peers = self.crash_news.due.set
         crashes.is_relay = self.is_relay
@@ -585,7 +585,7 @@
             PROPAGATION_SECONDS if self.meshed else RELAYED_PROPAGATION_SECONDS
         )
 
-    def crash_receivers(self) -> list[members_module.Member]:
+    def crash_update_receivers(self) -> list[members_module.Member]:
         """Whom this node sends what it knows of requests that crash replicas.
 
         One that relays sends it to those that report here and to the relays of
