--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -556,7 +556,7 @@
 
     def site_node_count(self) -> int:
         """Counts the site's nodes as those are told that follow this one."""
-        if self.follows():
+        if self.has_relay():
             return self.census.highest
         return self.census.with_entries(self.node_count())
 
@@ -565,13 +565,13 @@
         known_for = self.clock() - self.entries.others.first_read_at
         if known_for < node_count_module.STARTUP_SECONDS:
             return 0
-        if self.follows() and not self.census.received:
+        if self.has_relay() and not self.census.received:
             return 0
         return self.site_node_count()
 
     def is_partitioned(self) -> bool:
         """Whether the others may share what the site has without this node."""
-        if self.follows():
+        if self.has_relay():
             return self.census.partitioned
         return self.census.is_partitioned(self.node_count(), self.clock())
 
@@ -605,6 +605,6 @@
                 found.append(subscriber.member)
         return found
 
-    def follows(self) -> bool:
+    def has_relay(self) -> bool:
         """Whether this node reports to a relay."""
         return not self.meshed and self.choice.relay is not None
