--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -120,7 +120,7 @@
         )
         self.entries.on_mesh_exceeded = self.leave_mesh
         self.entries.on_node_removed = self.drop_node
-        self.census = node_count_module.NodeCount(
+        self.node_counter = node_count_module.NodeCount(
             self.members, self.entries.others
         )
         self.summaries = summaries_module.Summaries(
@@ -442,7 +442,7 @@
         relay = self.choice.relay
         if relay is None or member.name != relay.name:
             return
-        self.census.receive(summary.node_count, summary.partitioned, now)
+        self.node_counter.receive(summary.node_count, summary.partitioned, now)
         self.site.receive(summary.load_delta, now)
         others = loads_module.subtract(
             self.site.loads(now), self.reports.own_loads_at_relay()
@@ -549,31 +549,31 @@
         """Counts the nodes that were heard of lately, this one included."""
         now = self.clock()
         if self.meshed:
-            return self.census.count_recent(now)
+            return self.node_counter.count_recent(now)
         if self.choice.relay is None:
-            self.census.record(self.relaying.node_count(), now)
-        return self.census.highest
+            self.node_counter.record(self.relaying.node_count(), now)
+        return self.node_counter.highest
 
     def site_node_count(self) -> int:
         """Counts the site's nodes as those are told that follow this one."""
         if self.has_relay():
-            return self.census.highest
-        return self.census.with_entries(self.node_count())
+            return self.node_counter.highest
+        return self.node_counter.with_entries(self.node_count())
 
     def sharing_node_count(self) -> int:
         """Counts the nodes that share what the site has once; 0 if unknown."""
         known_for = self.clock() - self.entries.others.first_read_at
         if known_for < node_count_module.STARTUP_SECONDS:
             return 0
-        if self.has_relay() and not self.census.received:
+        if self.has_relay() and not self.node_counter.received:
             return 0
         return self.site_node_count()
 
     def is_partitioned(self) -> bool:
         """Whether the others may share what the site has without this node."""
         if self.has_relay():
-            return self.census.partitioned
-        return self.census.is_partitioned(self.node_count(), self.clock())
+            return self.node_counter.partitioned
+        return self.node_counter.is_partitioned(self.node_count(), self.clock())
 
     def is_relay(self) -> bool:
         """Whether this node passes on what other nodes send."""
