--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -100,7 +100,7 @@
             gossip.resend_to_relay(now)
             gossip.send_summaries(now)
         if changed or now - self.reported >= gossip_module.REFRESH_SECONDS:
-            gossip.again = changed
+            gossip.resend_due = changed
             gossip.changed.clear()
             self.reported = now
             gossip.send_report(now)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -133,7 +133,7 @@
         self.beliefs = beliefs_module.RemoteState(homes, directory)
         self.meshed = True
         self.chosen = False
-        self.again = False
+        self.resend_due = False
         self.choice = relays_module.Choice(None, None, [])
         self.numbers: dict[str, int] = {}
         self.site = loads_module.new_decoder()
@@ -239,7 +239,7 @@
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(REFRESH_SECONDS):
                     await self.changed.wait()
-            self.again = self.changed.is_set()
+            self.resend_due = self.changed.is_set()
             self.changed.clear()
             if self.meshed:
                 self.urgent.clear()
@@ -273,8 +273,8 @@
 
     def resend_to_relay(self, now: float) -> None:
         """Sends a relay what has changed a second time: datagrams get lost."""
-        if self.again and self.choice.relay is not None:
-            self.again = False
+        if self.resend_due and self.choice.relay is not None:
+            self.resend_due = False
             self.send_report(now)
 
     def send_report(self, now: float) -> None:
