--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -132,7 +132,7 @@
         )
         self.beliefs = beliefs_module.RemoteState(homes, directory)
         self.meshed = True
-        self.chosen = False
+        self.relay_chosen = False
         self.resend_due = False
         self.choice = relays_module.Choice(None, None, [])
         self.numbers: dict[str, int] = {}
@@ -315,9 +315,9 @@
         relay = self.choice.relay
         if relay is None and self.choice.asked != asked:
             self.announce(now)
-        if relay == before and self.chosen:
+        if relay == before and self.relay_chosen:
             return
-        self.chosen = True
+        self.relay_chosen = True
         events.log(
             events.RELAY_CHOSEN,
             relay=relay.node if relay else self.members.own.node,
