--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -135,7 +135,7 @@
         self.relay_chosen = False
         self.resend_due = False
         self.choice = relays_module.Choice(None, None, [])
-        self.numbers: dict[str, int] = {}
+        self.last_sequences: dict[str, int] = {}
         self.site = loads_module.new_decoder()
         self.noticed = -math.inf
         self.changed = asyncio.Event()
@@ -176,7 +176,7 @@
         """Forgets a node that has left or is gone."""
         self.members.remove(name)
         self.relays.forget(name)
-        self.numbers.pop(name, None)
+        self.last_sequences.pop(name, None)
         self.loads.drop(name)
 
     async def start(self) -> None:
@@ -373,10 +373,10 @@
         sender = message.sender
         if sender.member == self.member:
             return
-        if message.sequence <= self.numbers.get(sender.member, -1):
+        if message.sequence <= self.last_sequences.get(sender.member, -1):
             return
         now = self.clock()
-        self.numbers[sender.member] = message.sequence
+        self.last_sequences[sender.member] = message.sequence
         # A node that started after the entries were read is known by this.
         member = members_module.Member(
             sender.member,
