--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -136,7 +136,7 @@
         self.resend_due = False
         self.choice = relays_module.Choice(None, None, [])
         self.last_sequences: dict[str, int] = {}
-        self.site = loads_module.new_decoder()
+        self.site_decoder = loads_module.new_decoder()
         self.noticed = -math.inf
         self.changed = asyncio.Event()
         self.urgent = asyncio.Event()
@@ -325,7 +325,7 @@
             known=len(self.members.known),
         )
         self.loads.clear_remote()
-        self.site = loads_module.new_decoder()
+        self.site_decoder = loads_module.new_decoder()
         self.noticed = -math.inf
         if relay is None:
             until = now + loads_module.EXPIRY_SECONDS
@@ -443,9 +443,9 @@
         if relay is None or member.name != relay.name:
             return
         self.node_counter.receive(summary.node_count, summary.partitioned, now)
-        self.site.receive(summary.load_delta, now)
+        self.site_decoder.receive(summary.load_delta, now)
         others = loads_module.subtract(
-            self.site.loads(now), self.reports.own_loads_at_relay()
+            self.site_decoder.loads(now), self.reports.own_loads_at_relay()
         )
         self.loads.set_remote(
             relay.data_centre, others, now + loads_module.EXPIRY_SECONDS
