--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -137,7 +137,7 @@
         self.choice = relays_module.Choice(None, None, [])
         self.last_sequences: dict[str, int] = {}
         self.site_decoder = loads_module.new_decoder()
-        self.noticed = -math.inf
+        self.announced_at = -math.inf
         self.changed = asyncio.Event()
         self.urgent = asyncio.Event()
         homes.listener = self
@@ -286,7 +286,7 @@
         choice = self.choice
         if choice.relay is None:
             # Its own news go out with its next summary.
-            if now - self.noticed >= REFRESH_SECONDS:
+            if now - self.announced_at >= REFRESH_SECONDS:
                 self.announce(now)
             return
         # All get the same news; each is told what it is asked for.
@@ -299,7 +299,7 @@
 
     def announce(self, now: float) -> None:
         """Makes this node known to those that could relay as well."""
-        self.noticed = now
+        self.announced_at = now
         self.reports.announce(self.choice, now)
 
     def take_updates(self, now: float) -> messages.Updates:
@@ -326,7 +326,7 @@
         )
         self.loads.clear_remote()
         self.site_decoder = loads_module.new_decoder()
-        self.noticed = -math.inf
+        self.announced_at = -math.inf
         if relay is None:
             until = now + loads_module.EXPIRY_SECONDS
             for subscriber in self.relaying.subscribers.values():
