--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -165,7 +165,7 @@
         )
         gateway.supervise("gossip", gateway.gossip.run)
         gateway.supervise("relay", gateway.gossip.run_relay)
-        gateway.supervise("crash-news", gateway.gossip.crash_news.run)
+        gateway.supervise("crash-news", gateway.gossip.crash_updates.run)
         for name, watch in gateway.watches.items():
             gateway.supervise(f"watch-{name}", watch.run)
         gateway.supervise("fetch", gateway.store_copy.fetch)
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -288,7 +288,7 @@
         self.supervise("entries", lambda: self.gossip.entries.run(self.gossip))
         self.supervise("gossip", self.gossip.run)
         self.supervise("relay", self.gossip.run_relay)
-        self.supervise("crash-news", self.gossip.crash_news.run)
+        self.supervise("crash-news", self.gossip.crash_updates.run)
         for name, watch in self.watches.items():
             self.supervise(f"watch-{name}", watch.run)
         self.supervise("fetch", self.store_copy.fetch)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -98,13 +98,13 @@
         self.sender = sending.Sender(self.members, self.sealer)
         self.crashes = crashes
         link = settings.node.link_mbps
-        self.crash_news = crash_news_module.CrashUpdates(
+        self.crash_updates = crash_news_module.CrashUpdates(
             self.sender,
             crashes,
             bandwidth.Bandwidth(link, bandwidth.CRASHES_SHARE),
             self.crash_update_receivers,
         )
-        crashes.notify_peers = self.crash_news.due.set
+        crashes.notify_peers = self.crash_updates.due.set
         crashes.is_relay = self.is_relay
         crashes.propagation_time = self.propagation_time
         self.reports = reports_module.Reports(
