--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -130,7 +130,7 @@
             directory,
             bandwidth.Bandwidth(link, bandwidth.SUMMARIES_SHARE),
         )
-        self.beliefs = beliefs_module.RemoteState(homes, directory)
+        self.remote_state = beliefs_module.RemoteState(homes, directory)
         self.meshed = True
         self.relay_chosen = False
         self.resend_due = False
@@ -408,7 +408,7 @@
                 self.receive_knowledge(member, report.knowledge, True)
             else:
                 self.relaying.add_mesh_node(member, now)
-            self.beliefs.apply(report.updates, now)
+            self.remote_state.apply(report.updates, now)
             return
         self.leave_mesh()
         if self.relaying.receive_report(member, report, now):
@@ -417,7 +417,7 @@
             self.send_to_nodes(due, now)
         if self.choice.relay is None:
             self.loads.set_remote(member.name, report.loads, until)
-        self.beliefs.apply(report.updates, now)
+        self.remote_state.apply(report.updates, now)
         if report.subscription_level == messages.SUBSCRIBE_ALL:
             self.forward(report.updates, now)
 
@@ -450,7 +450,7 @@
         self.loads.set_remote(
             relay.data_centre, others, now + loads_module.EXPIRY_SECONDS
         )
-        self.beliefs.apply(summary.updates, now)
+        self.remote_state.apply(summary.updates, now)
 
     def receive_knowledge(
         self,
@@ -480,7 +480,7 @@
         if best is not None and best.member.name == member.name:
             until = now + loads_module.EXPIRY_SECONDS
             self.loads.set_remote(data_centre, best.decoder.loads(now), until)
-            self.beliefs.apply(summary.updates, now)
+            self.remote_state.apply(summary.updates, now)
             if self.relaying.node_outbox.add_updates(summary.updates, now):
                 self.urgent.set()
 
