--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -96,7 +96,7 @@
         self.outbox = outbox_module.Outbox()
         self.sealer = seals.Sealer(settings.peers.keys)
         self.sender = sending.Sender(self.members, self.sealer)
-        self.crashes = crashes
+        self.quarantine = crashes
         link = settings.node.link_mbps
         self.crash_updates = crash_news_module.CrashUpdates(
             self.sender,
@@ -388,7 +388,7 @@
         self.members.observe(member, now)
         self.entries.others.observe(member)
         if isinstance(message, messages.CrashUpdate):
-            self.crashes.merge_message(message)
+            self.quarantine.merge_message(message)
         elif isinstance(message, messages.Report):
             self.receive_report(member, message, now)
         else:
