--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -29,13 +29,13 @@
 from gypsumfold.gateway import quarantine as quarantine_module
 from gypsumfold.gateway import settings as settings_module
 from gypsumfold.gateway import types
-from gypsumfold.gateway.peers import beliefs as beliefs_module
 from gypsumfold.gateway.peers import crash_news as crash_news_module
 from gypsumfold.gateway.peers import entries as entries_module
 from gypsumfold.gateway.peers import loads as loads_module
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import outbox as outbox_module
 from gypsumfold.gateway.peers import relaying as relaying_module
+from gypsumfold.gateway.peers import remote_state as remote_state_module
 from gypsumfold.gateway.peers import reports as reports_module
 from gypsumfold.gateway.peers import seals
 from gypsumfold.gateway.peers import sending
@@ -130,7 +130,7 @@
             directory,
             bandwidth.Bandwidth(link, bandwidth.SUMMARIES_SHARE),
         )
-        self.remote_state = beliefs_module.RemoteState(homes, directory)
+        self.remote_state = remote_state_module.RemoteState(homes, directory)
         self.meshed = True
         self.relay_chosen = False
         self.resend_due = False
