--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -29,7 +29,7 @@
 from gypsumfold.gateway import quarantine as quarantine_module
 from gypsumfold.gateway import settings as settings_module
 from gypsumfold.gateway import types
-from gypsumfold.gateway.peers import crash_news as crash_news_module
+from gypsumfold.gateway.peers import crash_updates as crash_updates_module
 from gypsumfold.gateway.peers import entries as entries_module
 from gypsumfold.gateway.peers import loads as loads_module
 from gypsumfold.gateway.peers import messages
@@ -98,7 +98,7 @@
         self.sender = sending.Sender(self.members, self.sealer)
         self.quarantine = crashes
         link = settings.node.link_mbps
-        self.crash_updates = crash_news_module.CrashUpdates(
+        self.crash_updates = crash_updates_module.CrashUpdates(
             self.sender,
             crashes,
             bandwidth.Bandwidth(link, bandwidth.CRASHES_SHARE),
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -20,7 +20,7 @@
 from gypsumfold.gateway import progress as progress_module
 from gypsumfold.gateway import runs as runs_module
 from gypsumfold.gateway import types
-from gypsumfold.gateway.peers import crash_news
+from gypsumfold.gateway.peers import crash_updates
 from gypsumfold.gateway.peers import messages
 
 # Mean time between two checks whether a suspected request may run: longer than
@@ -299,7 +299,7 @@
             crashes=sorted(crashes),
         )
 
-    def updates(self, most: int) -> crash_news.UpdateBatch:
+    def updates(self, most: int) -> crash_updates.UpdateBatch:
         """Updates to send to other nodes next, canaries first.
 
         All nodes have to know a reservation before its request runs.
@@ -326,7 +326,7 @@
                 )
             )
         more = bool(self.crash_log.pending_sends or self.canaries.pending_sends)
-        return crash_news.UpdateBatch(interrupted, running, more)
+        return crash_updates.UpdateBatch(interrupted, running, more)
 
     def merge_suspicions(
         self, suspicions: list[crashes_module.Interrupted], forward: bool
