--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -19,7 +19,7 @@
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway import types
 from gypsumfold.gateway.peers import gossip as gossip_module
-from gypsumfold.gateway.peers import questions as questions_module
+from gypsumfold.gateway.peers import queries as queries_module
 
 # Seconds between two checks for engines that were not asked yet, and the number
 # of checks after startup.
@@ -51,7 +51,7 @@
         endpoints: types.Endpoints,
         prefix_router: prefix_routing_module.PrefixRouter,
         gossip: gossip_module.Gossip,
-        questions: questions_module.QueryClient,
+        questions: queries_module.QueryClient,
     ):
         self.directory = directory
         self.configurations = configurations
@@ -80,8 +80,8 @@
         if relay is None:
             return
         try:
-            body = await self.questions.fetch(relay, questions_module.CACHES)
-            found = questions_module.CACHES_DECODER.decode(body)
+            body = await self.questions.fetch(relay, queries_module.CACHES)
+            found = queries_module.CACHES_DECODER.decode(body)
         except exceptions.PeerRefused:
             # It has no lists yet; it may have just started, too.
             return
@@ -98,7 +98,7 @@
         for caches in found:
             self.apply_links(caches)
 
-    def apply_links(self, caches: questions_module.CachedPrefixes) -> None:
+    def apply_links(self, caches: queries_module.CachedPrefixes) -> None:
         """Applies the relay's list for one engine."""
         replica = self.directory.replicas.get(caches.engine)
         if replica is None or incarnations.is_later_start(
@@ -128,7 +128,7 @@
             if replica is None:
                 continue
             found.append(
-                questions_module.CachedPrefixes(
+                queries_module.CachedPrefixes(
                     engine, replica.started_at, list(kept), list(kept.values())
                 )
             )
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -43,7 +43,7 @@
 from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway import types
 from gypsumfold.gateway.peers import gossip as gossip_module
-from gypsumfold.gateway.peers import questions
+from gypsumfold.gateway.peers import queries
 from gypsumfold.platform import names
 from gypsumfold.platform import replicas
 from gypsumfold.platform import store as store_module
@@ -150,7 +150,7 @@
         self.crash_records = crash_records_module.CrashRecords(
             self.store, self.quarantine, self.gossip.is_store_reader
         )
-        self.questions = questions.QueryClient(self.session, self.gossip.sealer)
+        self.questions = queries.QueryClient(self.session, self.gossip.sealer)
         self.cache_lists = cache_lists.CacheLists(
             self.directory,
             self.configurations,
@@ -159,11 +159,11 @@
             self.gossip,
             self.questions,
         )
-        self.answers = questions.QueryHandler(self.gossip.sealer)
-        self.answers.sources[questions.CONFIGURATION] = lambda: (
+        self.answers = queries.QueryHandler(self.gossip.sealer)
+        self.answers.sources[queries.CONFIGURATION] = lambda: (
             self.configurations.record
         )
-        self.answers.sources[questions.CACHES] = self.cache_lists.encode_caches
+        self.answers.sources[queries.CACHES] = self.cache_lists.encode_caches
         self.planner = role_planning.RolePlanner(
             self.leadership,
             self.directory,
@@ -191,7 +191,7 @@
         self.configurations.listeners.append(
             lambda _: self.gossip.note_store_read()
         )
-        self.answers.sources[questions.REGISTRATIONS] = (
+        self.answers.sources[queries.REGISTRATIONS] = (
             self.store_copy.encode_registrations
         )
         self.leadership.is_candidate = self.gossip.can_lead
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -20,7 +20,7 @@
 from gypsumfold.gateway import registrations as registrations_module
 from gypsumfold.gateway import topic_watches
 from gypsumfold.gateway.peers import messages
-from gypsumfold.gateway.peers import questions as questions_module
+from gypsumfold.gateway.peers import queries as queries_module
 
 # Seconds between two requests to a peer for all registrations. If the answer
 # doesn't resolve the difference, the store is read.
@@ -53,7 +53,7 @@
         registrations_watch: topic_watches.TopicWatch,
         configuration_watch: topic_watches.TopicWatch,
         is_reader: Callable[[], bool],
-        questions: questions_module.QueryClient,
+        questions: queries_module.QueryClient,
         read_timeouts: read_timeouts_module.ReadTimeouts,
     ):
         self.read_timeouts = read_timeouts
@@ -236,7 +236,7 @@
         ):
             return
         record = await self.questions.fetch(
-            self.newer_peer, questions_module.CONFIGURATION
+            self.newer_peer, queries_module.CONFIGURATION
         )
         self.configurations.offer(record, "peer")
 
@@ -253,10 +253,8 @@
         address, self.differing_peer = self.differing_peer, None
         if address is None:
             return
-        body = await self.questions.fetch(
-            address, questions_module.REGISTRATIONS
-        )
-        found = questions_module.REGISTRATIONS_DECODER.decode(body)
+        body = await self.questions.fetch(address, queries_module.REGISTRATIONS)
+        found = queries_module.REGISTRATIONS_DECODER.decode(body)
         changes = []
         for entry in found.entries:
             changes.append(
@@ -272,7 +270,7 @@
                 messages.ChangedRegistration(key, known[0], known[1])
             )
         end = self.registrations_watch.position
-        return ENCODER.encode(questions_module.RegistrationList(end, entries))
+        return ENCODER.encode(queries_module.RegistrationList(end, entries))
 
 
 def sent_age(
