--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -299,7 +299,7 @@
             crashes=sorted(crashes),
         )
 
-    def updates(self, most: int) -> crash_updates.UpdateBatch:
+    def updates(self, limit: int) -> crash_updates.UpdateBatch:
         """Updates to send to other nodes next, canaries first.
 
         All nodes have to know a reservation before its request runs.
@@ -309,13 +309,13 @@
         """
         now = time.monotonic()
         running = []
-        for one in self.canaries.updates(self.is_relay(), now, most):
+        for one in self.canaries.updates(self.is_relay(), now, limit):
             left = min(
                 canaries_module.LIFETIME_SECONDS, max(0.0, one.until - now)
             )
             running.append(messages.Canary(*one[:-1], left))
         interrupted = []
-        for one in self.crash_log.updates(now, most - len(running)):
+        for one in self.crash_log.updates(now, limit - len(running)):
             interrupted.append(
                 messages.Interrupted(
                     one.replica.instance,
