--- a/features/steps/full_links_steps.py
+++ b/features/steps/full_links_steps.py
@@ -158,7 +158,7 @@
     context.relaying = relaying.Relaying(sender.members)
     context.summaries = summaries.Summaries(
         context.relaying,
-        mock.Mock(site=lambda now: messages.EngineLoads({}, {}, {}, {})),
+        mock.Mock(site_totals=lambda now: messages.EngineLoads({}, {}, {}, {})),
         sender,
         mock.Mock(changing_until={}),
         context.bandwidth,
@@ -184,17 +184,17 @@
 )
 def step_prompts(context, many, few_tokens, few, many_tokens):
     context.shared = many_tokens
-    outbox = context.relaying.for_nodes
+    outbox = context.relaying.node_outbox
     for number in range(few):
-        outbox.place(
+        outbox.add_placement(
             messages.Placement("i-1", [number, 1], [many_tokens, number])
         )
     for number in range(many):
-        outbox.place(
+        outbox.add_placement(
             messages.Placement("i-2", [number, 2], [few_tokens, number])
         )
-    due = context.relaying.due(0.0)
-    context.summaries.tell_nodes(due, 26, False, 0.0)
+    due = context.relaying.due_subscribers(0.0)
+    context.summaries.send_to_nodes(due, 26, False, 0.0)
 
 
 @behave.then(
--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -116,9 +116,9 @@
     @SETTINGS
     @hypothesis.given(made_up.datagrams())
     def receive(data):
-        before = len(context.gossip.numbers)
+        before = len(context.gossip.last_sequences)
         context.gossip.datagram_received(data, ("10.0.0.9", 1))
-        heard = len(context.gossip.numbers) > before
+        heard = len(context.gossip.last_sequences) > before
         context.ends["decoded" if heard else "refused"] += 1
         sums = context.gossip.loads.homes.waiting.remote_totals
         assert all(map(math.isfinite, sums.values())), sums
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -142,7 +142,10 @@
 @behave.then("each node counts {nodes:d} nodes")
 def step_count(context, nodes):
     for node in context.site.nodes.values():
-        assert node.gossip.nodes() == nodes, (node.name, node.gossip.nodes())
+        assert node.gossip.node_count() == nodes, (
+            node.name,
+            node.gossip.node_count(),
+        )
 
 
 @behave.given(
@@ -278,7 +281,7 @@
     relay = next(iter(site.relays()["dc-0"]))
     gossip = site.nodes[relay].gossip
     gossip.directory.close_until(ENGINE, site.now + 4)
-    gossip.closed(ENGINE, 4)
+    gossip.announce_closing(ENGINE, 4)
 
 
 @behave.then("all nodes have closed it after {seconds:g} seconds")
@@ -391,7 +394,7 @@
 def step_follower(context, version):
     context.knowledge = relay_knowledge(lambda: False)
     context.knowledge.configurations.current = mock.Mock(version=version)
-    context.knowledge.questions = mock.Mock(ask=mock.AsyncMock())
+    context.knowledge.questions = mock.Mock(fetch=mock.AsyncMock())
     for watch in (
         context.knowledge.registrations_watch,
         context.knowledge.configuration_watch,
@@ -409,7 +412,7 @@
 def step_reads(context):
     assert context.knowledge.should_read_configuration()
     asyncio.run(context.knowledge.fetch_configuration())
-    context.knowledge.questions.ask.assert_not_called()
+    context.knowledge.questions.fetch.assert_not_called()
 
 
 @behave.when("that read has failed")
@@ -424,7 +427,7 @@
         offered.append((record, source))
     )
     asyncio.run(context.knowledge.fetch_configuration())
-    context.knowledge.questions.ask.assert_called_once()
+    context.knowledge.questions.fetch.assert_called_once()
     assert len(offered) == 1, offered
 
 
@@ -515,9 +518,9 @@
 
 def heard(gossip, data):
     """Whether a node takes a datagram in."""
-    before = len(gossip.numbers)
+    before = len(gossip.last_sequences)
     gossip.datagram_received(data, ("10.0.0.2", 8092))
-    return len(gossip.numbers) > before
+    return len(gossip.last_sequences) > before
 
 
 def report(name, keys):
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -150,7 +150,7 @@
     context.planner.pending[ENGINE] = role_planning.PendingOrder(
         decision_types.Role.PREFILL, now + 60
     )
-    context.gossip.changed_role(ENGINE, decision_types.Role.PREFILL, 60)
+    context.gossip.announce_role(ENGINE, decision_types.Role.PREFILL, 60)
 
 
 def beliefs(context):
--- a/features/steps/store_loss_steps.py
+++ b/features/steps/store_loss_steps.py
@@ -156,7 +156,7 @@
         for node in site.nodes.values():
             if who == "first data centre" and node.data_centre == "dc-0":
                 cut.append(node.name)
-            elif who == "relay" and node.gateway.gossip.reads():
+            elif who == "relay" and node.gateway.gossip.is_store_reader():
                 cut = [node.name]
         site.cut(cut)
         await site.pass_time(site.rng.uniform(SHORTEST, LONGEST))
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_updates.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_updates.py
@@ -46,7 +46,7 @@
 
 
 class CrashUpdates:
-    """Sends news as they come, within a share of the link.
+    """Sends updates as they come, within a share of the link.
 
     >>> crash_news = CrashNews(sender, source, bandwidth, lambda: members)
     >>> await crash_news.run()
@@ -88,15 +88,19 @@
         left = self.bandwidth.available(now) / (
             MAX_ENTRY_BYTES * len(receivers)
         )
-        most = min(int(left), MAX_ENTRIES_PER_DATAGRAM * MAX_DATAGRAMS_PER_SEND)
-        if most < 1:
+        limit = min(
+            int(left), MAX_ENTRIES_PER_DATAGRAM * MAX_DATAGRAMS_PER_SEND
+        )
+        if limit < 1:
             return True
-        news = self.source.updates(most)
-        entries = max(len(news.interrupted), len(news.canaries))
+        updates = self.source.updates(limit)
+        entries = max(len(updates.interrupted), len(updates.canaries))
         for start in range(0, entries, MAX_ENTRIES_PER_DATAGRAM):
             end = start + MAX_ENTRIES_PER_DATAGRAM
             size = self.sender.send_crash_update(
-                news.interrupted[start:end], news.canaries[start:end], receivers
+                updates.interrupted[start:end],
+                updates.canaries[start:end],
+                receivers,
             )
             self.bandwidth.spend(size, now)
-        return news.more
+        return updates.more
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -35,11 +35,11 @@
         knowledge = msgspec.structs.replace(report.knowledge, changed=[])
         report = msgspec.structs.replace(report, knowledge=knowledge)
     while not fits_datagram(report, sealer) and report.updates.placements:
-        placed = report.updates.placements[
+        placements = report.updates.placements[
             len(report.updates.placements) // 2 + 1 :
         ]
-        news = msgspec.structs.replace(report.updates, placed=placed)
-        report = msgspec.structs.replace(report, news=news)
+        updates = msgspec.structs.replace(report.updates, placements=placements)
+        report = msgspec.structs.replace(report, updates=updates)
     return encode(report, sealer)
 
 
@@ -64,15 +64,21 @@
 
 def split_in_half(summary: messages.Summary) -> list[messages.Summary]:
     """Cuts a summary in two; gives nothing where there is little to cut."""
-    sums = split_load_delta(summary.load_delta)
-    news = split_updates(summary.updates)
+    load_delta = split_load_delta(summary.load_delta)
+    updates = split_updates(summary.updates)
     knowledge = split_knowledge(summary.knowledge)
     halves = [
         msgspec.structs.replace(
-            summary, sums=sums[0], news=news[0], knowledge=knowledge[0]
+            summary,
+            load_delta=load_delta[0],
+            updates=updates[0],
+            knowledge=knowledge[0],
         ),
         msgspec.structs.replace(
-            summary, sums=sums[1], news=news[1], knowledge=knowledge[1]
+            summary,
+            load_delta=load_delta[1],
+            updates=updates[1],
+            knowledge=knowledge[1],
         ),
     ]
     halves[0].members = []
@@ -84,26 +90,26 @@
 
 
 def split_updates(
-    news: messages.Updates,
+    updates: messages.Updates,
 ) -> tuple[messages.Updates, messages.Updates]:
-    """Cuts news in two; each part names the starts that it speaks of."""
+    """Cuts updates in two; each part names the starts that it speaks of."""
     halves = []
-    placed = split_list(news.placements)
-    unreachable = split_list(news.unreachable)
-    closed = split_dict(news.closed)
-    roles = split_dict(news.roles)
+    placed = split_list(updates.placements)
+    unreachable = split_list(updates.unreachable)
+    closed = split_dict(updates.closed)
+    roles = split_dict(updates.roles)
     for place in range(2):
-        births = {}
+        start_times = {}
         for engine in [*closed[place], *roles[place]]:
-            if engine in news.start_times:
-                births[engine] = news.start_times[engine]
+            if engine in updates.start_times:
+                start_times[engine] = updates.start_times[engine]
         halves.append(
             messages.Updates(
                 placed[place],
                 closed[place],
                 roles[place],
                 unreachable[place],
-                births,
+                start_times,
             )
         )
     return halves[0], halves[1]
@@ -122,12 +128,17 @@
 
 
 def split_load_delta(
-    sums: messages.LoadDelta,
+    load_delta: messages.LoadDelta,
 ) -> tuple[messages.LoadDelta, messages.LoadDelta]:
     """Cuts sums in two."""
     first = []
     second = []
-    for amounts in (sums.prompts, sums.streams, sums.late, sums.demand):
+    for amounts in (
+        load_delta.prompts,
+        load_delta.streams,
+        load_delta.late,
+        load_delta.demand,
+    ):
         halves = split_dict(amounts)
         first.append(halves[0])
         second.append(halves[1])
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -203,7 +203,7 @@
             outbox.forget(replica.instance)
 
     def outboxes(self) -> tuple[outbox_module.Outbox, ...]:
-        """This node's news, and those that it passes on."""
+        """This node's updates, and those that it passes on."""
         return (
             self.outbox,
             self.relaying.node_outbox,
@@ -285,11 +285,11 @@
             return
         choice = self.choice
         if choice.relay is None:
-            # Its own news go out with its next summary.
+            # Its own updates go out with its next summary.
             if now - self.announced_at >= REFRESH_SECONDS:
                 self.announce(now)
             return
-        # All get the same news; each is told what it is asked for.
+        # All get the same updates; each is told what it is asked for.
         self.reports.send_to_relay(choice, self.take_updates(now), now)
 
     def note_store_read(self) -> None:
@@ -303,7 +303,7 @@
         self.reports.announce(self.choice, now)
 
     def take_updates(self, now: float) -> messages.Updates:
-        """This node's own news, to be told once."""
+        """This node's own updates, to be told once."""
         self.outbox.retain_closings(self.directory.changing_until)
         return self.outbox.take(now)
 
@@ -484,10 +484,10 @@
             if self.relaying.node_outbox.add_updates(summary.updates, now):
                 self.urgent.set()
 
-    def forward(self, news: messages.Updates, now: float) -> None:
+    def forward(self, updates: messages.Updates, now: float) -> None:
         """Tells others what a node of this data centre has told."""
-        self.relaying.relay_outbox.add_updates(news, now)
-        if self.relaying.node_outbox.add_updates(news, now):
+        self.relaying.relay_outbox.add_updates(updates, now)
+        if self.relaying.node_outbox.add_updates(updates, now):
             self.urgent.set()
 
     def add_contacts(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -20,13 +20,13 @@
     late: load_deltas.DeltaEncoder
     demand: load_deltas.DeltaEncoder
 
-    def encode(self, amounts: messages.EngineLoads) -> messages.LoadDelta:
+    def encode(self, loads: messages.EngineLoads) -> messages.LoadDelta:
         """What is new since the last time, and a part of the rest."""
         return messages.LoadDelta(
-            self.prompts.encode(amounts.prompts),
-            self.streams.encode(amounts.streams),
-            self.late.encode(amounts.late),
-            self.demand.encode(amounts.demand),
+            self.prompts.encode(loads.prompts),
+            self.streams.encode(loads.streams),
+            self.late.encode(loads.late),
+            self.demand.encode(loads.demand),
         )
 
 
@@ -122,13 +122,13 @@
         )
 
     def set_remote(
-        self, source: str, amounts: messages.EngineLoads, until: float
+        self, source: str, loads: messages.EngineLoads, until: float
     ) -> None:
         """Replaces what a source said, until it no longer counts."""
-        self.homes.waiting.set_remote(source, amounts.prompts, until)
-        self.directory.streams.set_remote(source, amounts.streams, until)
-        self.homes.late.set_remote(source, amounts.late, until)
-        self.homes.demand.set_remote(source, amounts.demand, until)
+        self.homes.waiting.set_remote(source, loads.prompts, until)
+        self.directory.streams.set_remote(source, loads.streams, until)
+        self.homes.late.set_remote(source, loads.late, until)
+        self.homes.demand.set_remote(source, loads.demand, until)
 
     def drop(self, source: str) -> None:
         """Drops what a source said."""
@@ -159,14 +159,14 @@
 
 
 def subtract(
-    amounts: messages.EngineLoads, own: messages.EngineLoads
+    loads: messages.EngineLoads, own: messages.EngineLoads
 ) -> messages.EngineLoads:
     """What is left of sums without a node's own part of them."""
     return messages.EngineLoads(
-        load_deltas.subtract(amounts.prompts, own.prompts),
-        load_deltas.subtract(amounts.streams, own.streams),
-        load_deltas.subtract(amounts.late, own.late),
-        load_deltas.subtract(amounts.demand, own.demand),
+        load_deltas.subtract(loads.prompts, own.prompts),
+        load_deltas.subtract(loads.streams, own.streams),
+        load_deltas.subtract(loads.late, own.late),
+        load_deltas.subtract(loads.demand, own.demand),
     )
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -189,7 +189,7 @@
         number: Increases with each one.
         wants: What it asks its receiver for, of `WANTS_NOTHING` and on.
         amounts: Its own work at engines.
-        news: What it did since the last one.
+        updates: What it did since the last one.
         knowledge: What it has read in the store, where each node tells every
             other: once a second and where that changes.
     """
@@ -212,7 +212,7 @@
         between: Whether it goes to relays of other data centres, with the
             sums of the sender's own; else with those of the whole site.
         sums: Work at engines that changed.
-        news: What happened there since the last one.
+        updates: What happened there since the last one.
         knowledge: What the sender knows from the store.
         members: Nodes that rank high in its data centre.
         apart: Whether the rest of the site may count without these nodes.
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -43,13 +43,13 @@
         would open the engine again.
 
         Returns:
-            Whether that is news, not a longer time.
+            Whether that is updates, not a longer time.
         """
-        news = engine not in self.closings
+        is_new = engine not in self.closings
         self.closings[engine] = until
         self.roles.pop(engine, None)
         self.start_times[engine] = started_at
-        return news
+        return is_new
 
     def add_role(
         self, engine: str, role: str, until: float, started_at: int = 0
@@ -71,22 +71,22 @@
             if engine not in changing:
                 self.forget(engine)
 
-    def add_updates(self, news: messages.Updates, now: float) -> bool:
+    def add_updates(self, updates: messages.Updates, now: float) -> bool:
         """Passes on what another node tells.
 
         Returns:
             Whether an engine was closed that was open, which cannot wait.
         """
         urgent = False
-        for placed in news.placements:
+        for placed in updates.placements:
             self.add_placement(placed)
-        for engine, seconds in news.closed.items():
-            born = news.start_times.get(engine, 0)
-            urgent |= self.add_closing(engine, now + seconds, born)
-        for engine, (role, seconds) in news.roles.items():
-            born = news.start_times.get(engine, 0)
-            self.add_role(engine, role, now + seconds, born)
-        for instance in news.unreachable:
+        for engine, seconds in updates.closed.items():
+            started_at = updates.start_times.get(engine, 0)
+            urgent |= self.add_closing(engine, now + seconds, started_at)
+        for engine, (role, seconds) in updates.roles.items():
+            started_at = updates.start_times.get(engine, 0)
+            self.add_role(engine, role, now + seconds, started_at)
+        for instance in updates.unreachable:
             self.add_unreachable(instance)
         return urgent
 
@@ -97,8 +97,8 @@
 
         Args:
             now: The time.
-            most: Prompts at most; those with the most tokens that others may
-                share are told, the rest is not.
+            max_placements: Prompts at most; those with the most tokens that
+                others may share are told, the rest is not.
         """
         placed, self.placements = self.placements, []
         if len(placed) > max_placements:
@@ -117,11 +117,11 @@
                 self.forget(engine)
                 continue
             roles[engine] = (role, round(until - now, 3))
-        births = {}
-        for engine, born in self.start_times.items():
-            if born:
-                births[engine] = born
-        return messages.Updates(placed, closed, roles, unreachable, births)
+        start_times = {}
+        for engine, started_at in self.start_times.items():
+            if started_at:
+                start_times[engine] = started_at
+        return messages.Updates(placed, closed, roles, unreachable, start_times)
 
 
 def shareable_tokens(placed: messages.Placement) -> int:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -110,18 +110,18 @@
 
     def due_subscribers(self, now: float) -> DueSubscribers:
         """Who is to be told now."""
-        everything = []
-        signs = []
+        full = []
+        heartbeats = []
         for subscriber in self.subscribers.values():
             if subscriber.level == messages.SUBSCRIBE_ALL:
-                everything.append(subscriber)
+                full.append(subscriber)
                 continue
             if subscriber.level != messages.SUBSCRIBE_HEARTBEATS:
                 continue
             if now - subscriber.heartbeat_sent_at >= HEARTBEAT_INTERVAL_SECONDS:
                 subscriber.heartbeat_sent_at = now
-                signs.append(subscriber)
-        return DueSubscribers(everything, signs)
+                heartbeats.append(subscriber)
+        return DueSubscribers(full, heartbeats)
 
     def data_centre_loads(
         self, own: messages.EngineLoads
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
@@ -8,10 +8,10 @@
 
 
 class RemoteState:
-    """What this node believes of engines by the news of others.
+    """What this node believes of engines by the updates of others.
 
     >>> beliefs = Beliefs(homes, directory)
-    >>> beliefs.hear(news, now=0.0)
+    >>> beliefs.hear(updates, now=0.0)
     """
 
     def __init__(
@@ -22,30 +22,30 @@
         self.homes = homes
         self.directory = directory
 
-    def apply(self, news: messages.Updates, now: float) -> None:
+    def apply(self, updates: messages.Updates, now: float) -> None:
         """Takes in what happened elsewhere."""
-        for engine, seconds in news.closed.items():
-            if self.is_newest_incarnation(engine, news):
+        for engine, seconds in updates.closed.items():
+            if self.is_newest_incarnation(engine, updates):
                 self.directory.close_until(engine, now + seconds)
-        for engine, (role, seconds) in news.roles.items():
-            if self.is_newest_incarnation(engine, news):
+        for engine, (role, seconds) in updates.roles.items():
+            if self.is_newest_incarnation(engine, updates):
                 self.apply_role(engine, role, now + seconds)
-        for instance in news.unreachable:
+        for instance in updates.unreachable:
             if instance not in self.directory.suspects:
                 self.directory.request_probe(instance)
-        for placed in news.placements:
+        for placed in updates.placements:
             self.homes.add_remote_prompt(
                 placed.engine, placed.prefix_hashes, placed.tokens
             )
 
     def is_newest_incarnation(
-        self, engine: str, news: messages.Updates
+        self, engine: str, updates: messages.Updates
     ) -> bool:
         """Whether a peer speaks of the engine that this node knows."""
         if engine not in self.directory.replicas:
             return False
-        born = news.start_times.get(engine, 0)
-        return self.directory.incarnations.observe(engine, born)
+        started_at = updates.start_times.get(engine, 0)
+        return self.directory.incarnations.observe(engine, started_at)
 
     def apply_role(self, engine: str, role: str, until: float) -> None:
         """Takes an engine's new role in as a peer says it."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -24,7 +24,7 @@
         sent: When this node told its relay what it has at the engines.
 
     >>> reports = Reports(members, relays, loads, sender)
-    >>> reports.to_relay(choice, news, now=0.0)
+    >>> reports.to_relay(choice, updates, now=0.0)
     """
 
     def __init__(
@@ -44,7 +44,7 @@
 
     def send_to_all(
         self,
-        news: messages.Updates,
+        updates: messages.Updates,
         knowledge: summaries.Knowledge | None,
         now: float,
     ) -> None:
@@ -56,7 +56,7 @@
             list(self.members.known.values()),
             messages.SUBSCRIBE_NONE,
             self.loads.own(now),
-            news,
+            updates,
             self.knowledge_if_due(knowledge, now),
         )
 
@@ -76,15 +76,18 @@
         return found
 
     def send_to_relay(
-        self, choice: relays_module.Choice, news: messages.Updates, now: float
+        self,
+        choice: relays_module.Choice,
+        updates: messages.Updates,
+        now: float,
     ) -> None:
         """Tells the relay, and those that could be it, what this node has."""
         self.record_sent_loads(now)
-        self.send([choice.relay], messages.SUBSCRIBE_ALL, news, now)
+        self.send([choice.relay], messages.SUBSCRIBE_ALL, updates, now)
         others = list(choice.asked)
         if choice.standby is not None:
             others.append(choice.standby)
-        self.send(others, messages.SUBSCRIBE_HEARTBEATS, news, now)
+        self.send(others, messages.SUBSCRIBE_HEARTBEATS, updates, now)
 
     def announce(self, choice: relays_module.Choice, now: float) -> None:
         """Makes this node known to those that could relay as well."""
@@ -117,11 +120,11 @@
         self,
         receivers: list[members_module.Member],
         level: int,
-        news: messages.Updates,
+        updates: messages.Updates,
         now: float,
     ) -> None:
         """Sends a report, and notes who is asked for an answer by it."""
-        self.sender.send_report(receivers, level, self.loads.own(now), news)
+        self.sender.send_report(receivers, level, self.loads.own(now), updates)
         if level < messages.SUBSCRIBE_HEARTBEATS:
             return
         for member in receivers:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/seals.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/seals.py
@@ -23,8 +23,8 @@
     """Seals frames with the first key and opens those of any key.
 
     >>> sealer = Sealer(["new", "old"])
-    >>> sealer.open(Sealer(["old"]).seal(b"news"))
-    b'news'
+    >>> sealer.open(Sealer(["old"]).seal(b"updates"))
+    b'updates'
     """
 
     def __init__(self, keys: list[str]):
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -20,7 +20,7 @@
 
     >>> sender = Sender(members, sealer)
     >>> sender.transport = transport
-    >>> sender.report([relay], messages.WANTS_ALL, amounts, news)
+    >>> sender.report([relay], messages.WANTS_ALL, amounts, updates)
     """
 
     def __init__(self, members: members_module.Members, sealer: seals.Sealer):
@@ -86,7 +86,7 @@
         canaries: list[messages.Canary],
         receivers: list[members_module.Member],
     ) -> int:
-        """Sends news of requests that may crash replicas.
+        """Sends updates of requests that may crash replicas.
 
         Returns:
             Bytes that were sent.
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -71,8 +71,8 @@
 
         Args:
             due: Who is to be told what.
-            nodes: How many there are on the site.
-            apart: Whether the rest of the site may count without these.
+            node_count: How many there are on the site.
+            partitioned: Whether the rest of the site may count without these.
             now: The time.
         """
         if not due.full and not due.heartbeats:
@@ -125,13 +125,13 @@
         self.relaying.relay_outbox.retain_closings(
             self.directory.changing_until
         )
-        sums = self.relaying.data_centre_loads(self.loads.own(now))
+        loads = self.relaying.data_centre_loads(self.loads.own(now))
         summary = messages.Summary(
             self.sender.own_contact(),
             self.sender.sequence,
             1 + len(self.relaying.subscribers),
             True,
-            self.relay_encoder.encode(sums),
+            self.relay_encoder.encode(loads),
             self.relaying.relay_outbox.take(
                 now, self.max_placements(len(targets), now)
             ),
--- a/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/quarantine.py
@@ -305,7 +305,7 @@
         All nodes have to know a reservation before its request runs.
 
         Args:
-            most: Maximum number of entries.
+            limit: Maximum number of entries.
         """
         now = time.monotonic()
         running = []
