--- a/features/support/replicas.py
+++ b/features/support/replicas.py
@@ -169,11 +169,11 @@
         """Each node learns the hottest accounts of the others."""
         nodes = self.schedulers
         demands = [one.demand(now) for one in nodes]
-        hottest = [one.hottest(32, now) for one in nodes]
+        hottest = [one.hottest_accounts(32, now) for one in nodes]
         for own, scheduler in enumerate(nodes):
             uses = itertools.chain(*hottest[:own], *hottest[own + 1 :])
             others = demands[:own] + demands[own + 1 :]
-            scheduler.peers(others, list(uses), now)
+            scheduler.update_peers(others, list(uses), now)
 
     def give_up(self, now):
         """Callers leave at their deadline; what runs for them is cancelled."""
