--- a/packages/gypsumfold/src/gypsumfold/decisions/chains.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/chains.py
@@ -1,8 +1,9 @@
-"""Prompts as chains of parts, and which engine is believed to have which.
+"""Prompts as prefix chains of blocks, and which engines cache which blocks.
 
-Load pattern: thousands of prompts that share a few long beginnings. An
-engine that has read a part before skips it, but only if it also has all
-parts before it, so that what counts is the chain up to each part.
+Load pattern: thousands of prompts that share a few long prefixes. An engine
+skips the prefill of a block that it has cached, but only if it also has all
+blocks before it. Blocks are therefore identified by a hash of the chain up to
+and including them.
 """
 
 import collections
@@ -12,11 +13,11 @@
 
 
 class Block(NamedTuple):
-    """A piece of a prompt that may stand in other prompts too.
+    """A part of a prompt that other prompts may share.
 
     Attributes:
         id: The same for the same text.
-        tokens: Its length.
+        tokens: Length in tokens.
     """
 
     id: str
@@ -27,24 +28,24 @@
 
 
 def prefix_hashes(chain: Chain, model: str) -> list[int]:
-    """Hashes the chain up to each of its parts, for one model."""
+    """Hashes the chain up to and including each block, for one model."""
     digest = xxhash.xxh3_64(model.encode())
-    found = []
-    for part in chain:
-        digest.update(f"\n{part.id}".encode())
-        found.append(digest.intdigest())
-    return found
+    hashes = []
+    for block in chain:
+        digest.update(f"\n{block.id}".encode())
+        hashes.append(digest.intdigest())
+    return hashes
 
 
 def shared_prefix_key(chain: Chain, model: str) -> int:
-    """Names the longest beginning that other prompts can share.
+    """Key of the longest prefix that other prompts can share.
 
-    The last part belongs to the request itself. The first part alone would
-    not spread: a kind of request may have only four of them, and all of its
-    prompts would meet at four engines.
+    The last block belongs to the request itself. The first block alone would
+    not spread the load: a kind of request may have only four different ones,
+    and all its prompts would go to four engines.
 
     Returns:
-        0 where nothing is shared.
+        The key, or 0 if nothing is shared.
     """
     if len(chain) < 2:
         return 0
@@ -52,24 +53,24 @@
 
 
 def prompt_key(chain: Chain, model: str) -> int:
-    """Names a whole prompt; 0 for one without parts."""
+    """Key of a complete prompt; 0 for one without blocks."""
     if not chain:
         return 0
     return prefix_hashes(chain, model)[-1]
 
 
-def block_key(part_id: str) -> int:
-    """Names a part by itself, where its chain is not known."""
-    return xxhash.xxh3_64_intdigest(b"part\n" + part_id.encode())
+def block_key(block_id: str) -> int:
+    """Key of a block by itself, for when its chain isn't known."""
+    return xxhash.xxh3_64_intdigest(b"part\n" + block_id.encode())
 
 
 class PrefixCaches:
-    """What the engines are believed to keep of the prompts sent to them.
+    """Estimates which prompt prefixes each engine has in its KV cache.
 
-    Least recently used beginnings are dropped at the size of an engine's
-    memory, as engines do.
+    Evicts the least recently used prefixes beyond an engine's cache capacity,
+    as engines do.
 
-    >>> caches = Caches()
+    >>> caches = PrefixCaches()
     >>> caches.add("engine-1", chain, "m", capacity=400_000)
     >>> caches.cached_tokens("engine-1", chain, "m")
     1460
@@ -80,35 +81,35 @@
         self.used: dict[str, int] = {}
 
     def add(self, engine: str, chain: Chain, model: str, capacity: int):
-        """Notes that an engine has read a prompt.
+        """Records that an engine has prefilled a prompt.
 
         Args:
-            engine: The engine's instance.
-            chain: The prompt.
-            model: The model that read it.
-            capacity: Tokens that the engine's memory holds.
+            engine: The engine's instance ID.
+            chain: The prompt's prefix chain.
+            model: The model that prefilled it.
+            capacity: Tokens that the engine's KV cache holds.
         """
-        tokens = [part.tokens for part in chain]
+        tokens = [block.tokens for block in chain]
         self.add_hashes(engine, prefix_hashes(chain, model), tokens, capacity)
 
     def add_hashes(
-        self, engine: str, found: list[int], tokens: list[int], capacity: int
+        self, engine: str, hashes: list[int], tokens: list[int], capacity: int
     ) -> None:
-        """Notes that an engine has read a prompt, given as its links.
+        """Records that an engine has prefilled a prompt, given as hashes.
 
         Args:
-            engine: The engine's instance.
-            found: Hashes of the prompt up to each part.
-            tokens: Length of each part.
-            capacity: Tokens that the engine's memory holds.
+            engine: The engine's instance ID.
+            hashes: Hash of the prompt up to and including each block.
+            tokens: Length of each block.
+            capacity: Tokens that the engine's KV cache holds.
         """
         kept = self.kept.setdefault(engine, collections.OrderedDict())
         used = self.used.get(engine, 0)
-        for link, size in zip(found, tokens, strict=False):
-            if link in kept:
-                kept.move_to_end(link)
+        for prefix, size in zip(hashes, tokens, strict=False):
+            if prefix in kept:
+                kept.move_to_end(prefix)
                 continue
-            kept[link] = size
+            kept[prefix] = size
             used += size
         while used > capacity and kept:
             _, size = kept.popitem(last=False)
@@ -116,29 +117,31 @@
         self.used[engine] = used
 
     def add_blocks(
-        self, engine: str, parts: list[Block], capacity: int
+        self, engine: str, blocks: list[Block], capacity: int
     ) -> None:
-        """Notes what an engine says that it keeps, by parts.
+        """Records the blocks that an engine reports as cached.
 
-        It keeps a part only with all that go before it in its prompt.
+        It caches a block only with all blocks before it in the prompt.
         """
-        found = [block_key(part.id) for part in parts]
-        tokens = [part.tokens for part in parts]
-        self.add_hashes(engine, found, tokens, capacity)
+        hashes = [block_key(block.id) for block in blocks]
+        tokens = [block.tokens for block in blocks]
+        self.add_hashes(engine, hashes, tokens, capacity)
 
     def cached_tokens(self, engine: str, chain: Chain, model: str) -> int:
-        """Counts the prompt tokens that an engine need not read."""
+        """Counts the prompt tokens that an engine need not prefill."""
         kept = self.kept.get(engine)
         if not kept:
             return 0
         total = 0
-        for part, link in zip(chain, prefix_hashes(chain, model), strict=True):
-            if link not in kept and block_key(part.id) not in kept:
+        for block, prefix in zip(
+            chain, prefix_hashes(chain, model), strict=True
+        ):
+            if prefix not in kept and block_key(block.id) not in kept:
                 break
-            total += part.tokens
+            total += block.tokens
         return total
 
     def forget(self, engine: str) -> None:
-        """Drops an engine that is gone."""
+        """Drops the state of an engine that was removed."""
         self.kept.pop(engine, None)
         self.used.pop(engine, None)
--- a/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/cluster_totals.py
@@ -1,31 +1,32 @@
-"""What all nodes together have at each engine.
+"""Sums amounts per engine over all nodes.
 
-Load pattern: many nodes before the same engines, none of which sees more
-than its own part. Each node adds what the others told it last, as long as
-that is fresh.
+Load pattern: many nodes in front of the same engines, each of which sees only
+its own part of the load. Each node adds the amounts that the others last
+reported until these expire.
 """
 
 import math
 
-# Amounts below which nothing is left: what adding and taking away leaves over.
+# Smaller amounts count as zero: they are rounding errors of adding and
+# subtracting.
 MIN_AMOUNT = 1e-9
 
 
 class ClusterTotals:
-    """Amounts by engine, this node's own and those of the others.
+    """Amounts by key (an engine or a service): this node's and the others'.
 
-    >>> shares = Shares()
-    >>> shares.add("engine-1", 0.3)
-    >>> shares.remote("edge-2", {"engine-1": 0.2}, until=3.0)
-    >>> shares.total("engine-1", now=1.0)
+    >>> totals = ClusterTotals()
+    >>> totals.add("engine-1", 0.3)
+    >>> totals.set_remote("edge-2", {"engine-1": 0.2}, until=3.0)
+    >>> totals.total("engine-1", now=1.0)
     0.5
     """
 
     def __init__(self):
         self.own: dict[str, float] = {}
         self.others: dict[str, tuple[dict[str, float], float]] = {}
-        # What the others have together, so that asking costs the same however
-        # many nodes there are.
+        # Sum over the other nodes, so that a lookup costs the same for any
+        # number of nodes.
         self.remote_totals: dict[str, float] = {}
         self.next_expiry = math.inf
 
@@ -34,7 +35,7 @@
         self.own[engine] = self.own.get(engine, 0.0) + amount
 
     def remove(self, engine: str, amount: float) -> None:
-        """Takes from this node's own amount."""
+        """Subtracts from this node's own amount."""
         left = self.own.get(engine, 0.0) - amount
         if left > MIN_AMOUNT:
             self.own[engine] = left
@@ -44,7 +45,7 @@
     def set_remote(
         self, node: str, amounts: dict[str, float], until: float
     ) -> None:
-        """Replaces what another node has, until it no longer counts."""
+        """Replaces another node's amounts; they count until `until`."""
         self.drop_node(node)
         self.others[node] = (amounts, until)
         self.next_expiry = min(self.next_expiry, until)
@@ -54,13 +55,13 @@
             )
 
     def total(self, engine: str, now: float) -> float:
-        """What all nodes have at an engine."""
+        """Amount of all nodes at an engine."""
         if now >= self.next_expiry:
             self.expire(now)
         return self.own.get(engine, 0.0) + self.remote_totals.get(engine, 0.0)
 
     def totals(self, now: float) -> dict[str, float]:
-        """What all nodes have, by engine."""
+        """Amounts of all nodes, by engine."""
         if now >= self.next_expiry:
             self.expire(now)
         found = dict(self.remote_totals)
@@ -69,13 +70,13 @@
         return found
 
     def clear_others(self) -> None:
-        """Drops what all other nodes have."""
+        """Drops the amounts of all other nodes."""
         self.others.clear()
         self.remote_totals.clear()
         self.next_expiry = math.inf
 
     def expire(self, now: float) -> None:
-        """Drops what no longer counts."""
+        """Drops expired amounts."""
         for node, (_, until) in list(self.others.items()):
             if now >= until:
                 self.drop_node(node)
@@ -83,7 +84,7 @@
         self.next_expiry = min(ends, default=math.inf)
 
     def drop_node(self, node: str) -> None:
-        """Drops what one node has."""
+        """Drops another node's amounts."""
         amounts, _ = self.others.pop(node, ({}, 0.0))
         for engine, amount in amounts.items():
             left = self.remote_totals.get(engine, 0.0) - amount
@@ -93,7 +94,7 @@
                 self.remote_totals.pop(engine, None)
 
     def forget(self, engine: str) -> None:
-        """Drops an engine that is gone."""
+        """Drops an engine that was removed."""
         self.own.pop(engine, None)
         self.remote_totals.pop(engine, None)
         for amounts, _ in self.others.values():
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_demand.py
@@ -1,45 +1,45 @@
-"""How many engines the prompts that come would keep busy, served or not.
+"""Estimates the number of engines that arriving prompts would keep busy.
 
-Load pattern: a burst in which most prompts are refused because the engines
-that read are too few. What is refused never waits, so the queue shows fewer
-engines to be missing the more of them are; counted as they come, prompts show
-the lack.
+Load pattern: a burst in which most prompts are refused because there are too
+few prefill engines. Refused prompts never wait, so the more engines are
+missing, the less the queue shows it. Prompts are therefore counted on arrival,
+whether they are served or not.
 """
 
 import math
 
 from gypsumfold.decisions import cluster_totals
 
-# Seconds over which arrivals are remembered: longer than the gap between two
-# large prompts, shorter than a change of role takes.
+# Time constant of the arrival rate: longer than the gap between two large
+# prompts, shorter than a role change.
 MEMORY_SECONDS = 1.5
-# Engines below which a rate is taken for none, so that idle services cost
-# nothing in messages between nodes.
+# Rates below this count as zero, so that idle services take no space in
+# messages between nodes.
 MIN_ENGINES = 0.001
 
 
 class WorkRate:
-    """An exponentially smoothed sum of seconds by second."""
+    """Exponentially smoothed rate of work, in seconds per second."""
 
     def __init__(self):
         self.value = 0.0
         self.updated = 0.0
 
     def add(self, seconds: float, now: float) -> None:
-        """Counts seconds of work that came."""
+        """Counts seconds of work that arrived."""
         self.value = self.read(now) + seconds / MEMORY_SECONDS
         self.updated = now
 
     def read(self, now: float) -> float:
-        """Seconds of work a second, which is engines kept busy."""
+        """Seconds of work per second: the number of engines kept busy."""
         passed = max(0.0, now - self.updated)
         return self.value * math.exp(-passed / MEMORY_SECONDS)
 
 
 class PrefillDemand:
-    """What comes to all nodes for each service.
+    """Prefill demand per service, over all nodes.
 
-    >>> demand = Demand()
+    >>> demand = PrefillDemand()
     >>> demand.add("captions", 0.3, now=0.0)
     >>> round(demand.total("captions", now=0.0), 3)
     0.2
@@ -50,17 +50,17 @@
         self.node_totals = cluster_totals.ClusterTotals()
 
     def add(self, service: str, seconds: float, now: float) -> None:
-        """Counts a prompt that came to this node.
+        """Counts a prompt that arrived at this node.
 
         Args:
-            service: The service asked for.
-            seconds: For which it would keep an engine busy.
-            now: The time.
+            service: The requested service.
+            seconds: Seconds for which it would keep an engine busy.
+            now: Current time.
         """
         self.rates.setdefault(service, WorkRate()).add(seconds, now)
 
     def own(self, now: float) -> dict[str, float]:
-        """Engines kept busy by what comes to this node, by service."""
+        """Engines kept busy by this node's arrivals, by service."""
         found = {}
         for service, rate in self.rates.items():
             engines = rate.read(now)
@@ -71,10 +71,10 @@
     def set_remote(
         self, node: str, engines: dict[str, float], until: float
     ) -> None:
-        """Replaces what comes to another node, until it no longer counts."""
+        """Replaces another node's demand; it counts until `until`."""
         self.node_totals.set_remote(node, engines, until)
 
     def total(self, service: str, now: float) -> float:
-        """Engines kept busy by what comes to all nodes for a service."""
+        """Engines kept busy by all nodes' arrivals for a service."""
         own = self.own(now).get(service, 0.0)
         return own + self.node_totals.total(service, now)
