--- a/packages/gypsumfold/src/gypsumfold/decisions/admission.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/admission.py
@@ -1,39 +1,39 @@
-"""Who is refused at once because the answer would come too late.
+"""Refuses requests whose answers would come too late.
 
-Load pattern: more work than the fleet can do, as in overload or after an
-outage. Without it every request waits its turn, the queue grows until all
-answers are late, and the engines spend their time on answers that nobody
-waits for any more. A refusal says when to come back, spread out, so that the
-refused do not return together.
+Load pattern: more requests than the fleet can serve, as in overload or after an
+outage. Without admission control the queue grows until all answers are late,
+and the engines spend their time on answers that nobody waits for any more. A
+refusal says when to retry, with jitter, so that refused callers don't return
+all at once.
 """
 
 import random
 from typing import NamedTuple
 from typing import Protocol
 
-# Share that is added to an estimate before it is held against a deadline:
-# estimates are averages. In trials at twice the capacity 0.0 ended nearly
-# half of the answers just too late, 0.2 a fifth, 0.35 a tenth; 0.5 refused
-# more callers of ordinary use (features/support/patterns.py).
+# Fraction added to an estimate before it is compared with a deadline, since
+# estimates are averages. At twice the capacity nearly half of the answers ended
+# just too late with 0.0, a fifth with 0.2 and a tenth with 0.35; 0.5 refused
+# more callers with ordinary use (features/support/patterns.py).
 ESTIMATE_MARGIN = 0.35
-# From this urgency on the whole margin is added; none for urgency 0, of
-# which every answer that can still be in time is worth the work.
+# From this urgency value the complete margin is added. Urgency 0 gets none:
+# there every answer that may still be on time is worth the work.
 FULL_MARGIN_URGENCY = 2
-# Bounds of the advice when to come back, in seconds: below the first a
-# repeat meets the same queue, beyond the second a peak has passed.
+# Bounds of the retry advice: below the minimum a retry meets the same queue,
+# beyond the maximum a peak has passed.
 MIN_RETRY_SECONDS = 1.0
 MAX_RETRY_SECONDS = 30.0
 
 
 class WaitEstimate(NamedTuple):
-    """What a waiting request can expect.
+    """How long a waiting request is expected to wait and to run.
 
     Attributes:
-        left: Seconds until its deadline.
-        ahead: Seconds of work that goes before it.
+        time_left: Seconds until its deadline.
+        queued_ahead: Seconds of work queued ahead of it.
         work: Seconds that it takes itself.
-        slots: Requests that this node has running at once; they end at this
-            rate times the work of one, so waiting work drains as fast.
+        slots: Requests that this node runs at once: this many seconds of
+            waiting work drain per second.
         urgency: 0 is the most urgent.
     """
 
@@ -45,22 +45,22 @@
 
 
 class Admission(Protocol):
-    """Whether a request that cannot be sent at once may wait."""
+    """Decides whether a request that can't be sent at once may wait."""
 
     def is_feasible(self, estimate: WaitEstimate) -> bool:
-        """Whether its answer can be whole before its deadline."""
+        """Whether its answer can be complete before its deadline."""
 
     def is_full(self, queued: int) -> bool:
-        """Whether too many wait."""
+        """Whether too many requests wait."""
 
     def retry_after(self, wait: float) -> float:
-        """Seconds after which a repeat makes sense."""
+        """Seconds after which a refused caller should retry."""
 
 
 class DeadlineAdmission:
-    """Refuses what cannot be answered in time, and beyond a bound.
+    """Refuses requests that would be late or exceed the queue limit.
 
-    >>> DeadlineAdmission(512, random.Random(1)).full(queued=513)
+    >>> DeadlineAdmission(512, random.Random(1)).is_full(queued=513)
     True
     """
 
@@ -69,7 +69,7 @@
         self.rng = rng
 
     def is_feasible(self, estimate: WaitEstimate) -> bool:
-        """Whether its answer can be whole before its deadline."""
+        """Whether its answer can be complete before its deadline."""
         wait = estimate.queued_ahead / max(1, estimate.slots)
         margin = ESTIMATE_MARGIN * min(
             1.0, estimate.urgency / FULL_MARGIN_URGENCY
@@ -77,26 +77,26 @@
         return (wait + estimate.work) * (1 + margin) <= estimate.time_left
 
     def is_full(self, queued: int) -> bool:
-        """Whether too many wait."""
+        """Whether too many requests wait."""
         return queued > self.max_waiting
 
     def retry_after(self, wait: float) -> float:
-        """The wait, spread evenly over one to two times itself."""
+        """The bounded wait times a random factor between one and two."""
         base = min(MAX_RETRY_SECONDS, max(MIN_RETRY_SECONDS, wait))
         return base * (1.0 + self.rng.random())
 
 
 class AdmitAll:
-    """The baseline: all may wait, and all come back after a second."""
+    """The baseline: all requests may wait; callers retry after a second."""
 
     def is_feasible(self, estimate: WaitEstimate) -> bool:
-        """Always."""
+        """Returns True."""
         return True
 
     def is_full(self, queued: int) -> bool:
-        """Never."""
+        """Returns False."""
         return False
 
     def retry_after(self, wait: float) -> float:
-        """A second."""
+        """One second."""
         return MIN_RETRY_SECONDS
--- a/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/estimates.py
@@ -1,8 +1,8 @@
-"""How long a request will take, from reports and from what was observed.
+"""Estimates service times from load reports and completed requests.
 
-Load pattern: answers far shorter than their limit, and engines that slow
-down as their batch fills. Without it deadline checks either refuse work that
-would have been on time or admit work that cannot be.
+Load pattern: answers far shorter than their limit, and engines that slow down
+as their batch fills. Without estimates, deadline checks either refuse requests
+that would have been on time or admit requests that can't be.
 """
 
 import math
@@ -11,25 +11,25 @@
 
 from gypsumfold.decisions import types
 
-# Weight of one observation; about the last ten count (1 / 0.1).
+# Weight of one observation in the moving average: about the last ten count.
 SMOOTHING = 0.1
-# Seconds after which half of a learnt slowdown is forgotten where nothing
-# ends any more: an estimate that refuses everything must not last, since it
-# would never be corrected. A load report is polled many times by then.
+# Half-life of a learned slowdown while no requests end: an estimate so high
+# that everything is refused would otherwise never be corrected. Load reports
+# are polled many times within it.
 SLOWDOWN_HALF_LIFE_SECONDS = 5.0
-# Share of the output limit expected of a kind that was never seen.
+# Fraction of the output limit expected of a kind without observations.
 INITIAL_OUTPUT_FRACTION = 1.0
 
 
 class KindStatistics(NamedTuple):
-    """What was learnt of one kind of request.
+    """Moving averages for one kind of request.
 
     Attributes:
-        output_share: Output tokens as a share of the limit.
-        seconds: From dispatch to the end.
-        slowdown: Times the nominal time, which a loaded engine takes. By
-            kind, since engines serve the urgent first.
-        observed: When the last one ended.
+        output_share: Output tokens as a fraction of the limit.
+        seconds: Seconds from dispatch to the end.
+        slowdown: Factor by which a loaded engine exceeds the nominal time.
+            It is kept per kind, since engines serve urgent requests first.
+        observed: Time when the last request of this kind ended.
     """
 
     output_share: float
@@ -39,12 +39,12 @@
 
 
 class Estimator(Protocol):
-    """Estimates and learns service times."""
+    """Estimates service times and learns from completed requests."""
 
     def seconds(
         self, request: types.Request, report: types.Report | None, now: float
     ) -> float:
-        """Seconds from dispatch to the end at a usually loaded replica."""
+        """Seconds from dispatch to the end at a replica under usual load."""
 
     def tokens(self, request: types.Request) -> float:
         """Prompt and expected output tokens; 1 for a plain call."""
@@ -56,13 +56,13 @@
         result: types.Result,
         now: float,
     ) -> None:
-        """Learns from a dispatch that ended well."""
+        """Updates the averages if the dispatch succeeded."""
 
 
 class LearnedEstimator:
-    """Learns the answer's length and the slowdown by kind.
+    """Learns the answer length and the slowdown of each kind of request.
 
-    >>> LearntEstimator().seconds(request, report, now=0.0)
+    >>> LearnedEstimator().seconds(request, report, now=0.0)
     1.25
     """
 
@@ -72,7 +72,7 @@
     def seconds(
         self, request: types.Request, report: types.Report | None, now: float
     ) -> float:
-        """Nominal time by the report's rates, times the slowdown."""
+        """Nominal time from the report's rates, times the slowdown."""
         kind = self.kinds.get(request.kind)
         if report is None or report.decode_rate <= 0:
             return kind.seconds if kind else 0.0
@@ -86,7 +86,7 @@
         return max(1.0, request.prompt_tokens + self.output_tokens(request))
 
     def output_tokens(self, request: types.Request) -> float:
-        """The limit times the share that this kind used so far."""
+        """Output limit times the fraction that this kind has used so far."""
         kind = self.kinds.get(request.kind)
         share = kind.output_share if kind else INITIAL_OUTPUT_FRACTION
         return request.output_tokens * share
@@ -98,7 +98,7 @@
         result: types.Result,
         now: float,
     ) -> None:
-        """Learns from a dispatch that ended well."""
+        """Updates the averages if the dispatch succeeded."""
         if result.finish != types.Finish.DONE:
             return
         share = result.output_tokens / max(1, request.output_tokens)
@@ -118,7 +118,7 @@
 
 
 def current_slowdown(kind: KindStatistics | None, now: float) -> float:
-    """The slowdown, forgotten by half every `HALF_LIFE` seconds."""
+    """Slowdown of a kind, decayed with `SLOWDOWN_HALF_LIFE_SECONDS`."""
     if kind is None:
         return 1.0
     idle = max(0.0, now - kind.observed)
@@ -130,12 +130,12 @@
 def nominal_seconds(
     request: types.Request, report: types.Report, output_tokens: float
 ) -> float:
-    """Seconds that an engine with nothing else to do would take."""
+    """Seconds that an idle engine would take."""
     prefill = request.prompt_tokens / max(1.0, report.prefill_rate)
     decode = max(1.0, output_tokens) / max(1.0, report.decode_rate)
     return prefill + decode
 
 
 def smooth(old: float, new: float) -> float:
-    """Moves an average a little towards a new value."""
+    """Updates an exponential moving average with a new value."""
     return old + SMOOTHING * (new - old)
--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -1,48 +1,49 @@
-"""What becomes of requests that cannot be in time any more.
+"""Ranks requests by whether they can still meet their latency objective.
 
-Load pattern: a burst or an outage leaves more prompts than the engines read
-within their objectives. Served in order of arrival all of them are late, the
-fresh ones too. So a request that will miss its objective goes behind all that
-can keep theirs, and one whose caller will have left is refused at once. Of 160
-new long prompts within a second 29 to 51 wait behind others until their callers
-leave if a late one does not count the late ones before it, and 0 to 2 if it
-does (replayed without processes, five seeds).
+Load pattern: a burst or an outage leaves more prompts than the engines can
+prefill within their objectives. Served in order of arrival, all of them are
+late, including new ones. So a request that will miss its objective is queued
+behind all that can meet theirs, and one whose caller will have left by then is
+refused at once. A late request must count the late ones queued ahead of it: of
+160 new long prompts within a second, 29 to 51 otherwise waited until their
+callers left, and 0 to 2 with the count (simulated, five seeds).
 """
 
 from typing import NamedTuple
 
-# Seconds from a read prompt to the first event at the caller: handing the KV
-# cache over and the first step (45 ms, median of a quiet minute).
+# Time from the end of prefill to the caller's first event: KV cache transfer
+# and the first decode step (median of 45 ms without load).
 FIRST_EVENT_SECONDS = 0.06
-# Urgency of the most urgent deferred request: behind every request that is on
-# time and behind those of which nothing is said (5).
+# Urgency of the most urgent deferred request: behind all requests that are on
+# time and those without a declared urgency (5).
 DEFERRED_URGENCY = 6
-# Share of its objective for which a late request may hold up others and yet
-# keep its place before less urgent ones, behind fresh ones of its own urgency.
-# Behind all of them, prompts of 6 ms waited 0.4 s for prompts of 60 to 300 ms
-# for as long as 300 a second came, and were served less than these.
+# A late request that delays others for at most this fraction of its objective
+# isn't deferred: it stays ahead of less urgent requests, behind those of its
+# own urgency that are on time. When deferred, prompts of 6 ms waited 0.4 s for
+# prompts of 60 to 300 ms while 300 arrived per second, and fewer of them were
+# served.
 SMALL_LOAD_FRACTION = 0.1
-# Levels of urgency that engines know for each one of routes: one for requests
-# on time, one for small late ones.
+# Engine urgencies for each route urgency: one for requests on time, one for
+# small late ones.
 LEVELS_PER_URGENCY = 2
-# The least urgent that engines know.
+# Lowest urgency that engines accept.
 MAX_URGENCY = 9
-# Times its expected seconds that a late request takes, since those that come
-# after it go before it as long as they can be in time: engines that are a
-# third busy with these take half as long again.
+# A late request takes this times its expected seconds, since later arrivals
+# that can still be on time overtake it: engines that spend a third of their
+# time on those take half as long again.
 OVERTAKING_FACTOR = 1.5
-# Share of the time a caller still waits that the expected one must leave:
-# expectations of 0.1 s and more are right within a third for most.
+# Fraction of the caller's remaining timeout that the expected time may use:
+# most estimates of 0.1 s and more are off by less than a third.
 TIMEOUT_FRACTION = 0.9
 
 
 class Rank(NamedTuple):
-    """How a request goes on.
+    """Urgency and prospects of a request.
 
     Attributes:
-        urgency: For the engine; 0 is the most urgent.
+        urgency: Urgency for the engine; 0 is the most urgent.
         late: Whether it will miss its objective.
-        deferred: Whether it goes behind all that is on time.
+        deferred: Whether it is queued behind all requests that are on time.
         hopeless: Whether its caller will have left before its first event.
     """
 
@@ -64,14 +65,18 @@
     """Ranks a request by when its first event is expected.
 
     Args:
-        urgency: The route's.
-        age: Seconds since it came.
-        expected: Seconds until its prompt is read.
-        objective: Seconds from its coming within which it is worth most.
+        urgency: Urgency of the route.
+        age: Seconds since it arrived.
+        expected: Expected seconds until prefill is complete.
+        objective: Seconds from arrival to the first event that the route
+            aims at.
         abandon_timeout: Seconds for which its caller still waits.
-        deferred_ahead: Seconds of deferred prompts that wait before it if it is
-            deferred.
-        load: Seconds for which it holds up others.
+        deferred_ahead: Seconds of deferred prompts queued ahead of it if it is
+            deferred itself.
+        load: Seconds for which it delays others.
+
+    Returns:
+        The rank of the request.
     """
     remaining = expected + FIRST_EVENT_SECONDS
     late = age + remaining > objective
--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -1,11 +1,11 @@
-"""How much work one replica may hold, by the urgency of the work.
-
-Load pattern: more work than the engines can run, long jobs among short
-ones. Without limits the work queues inside the engines, where it can no
-longer be refused, reordered or sent elsewhere, and urgent work waits behind
-it; without headroom a batch full of long answers makes it wait for one of
-them to end. Six nodes that each see the same free slots in the same report
-would fill them six times over, so each takes its share of them by demand.
+"""Limits how many requests one replica may hold, by their urgency.
+
+Load pattern: more requests than the engines can run, and long ones among short
+ones. Without limits, requests queue inside the engines, where they can no
+longer be refused, reordered or sent elsewhere, and urgent requests wait behind
+them. Without headroom, urgent requests wait for a batch full of long answers.
+Six nodes that see the same free slots in the same report would fill them six
+times over, so each node takes a share of them by its demand.
 """
 
 import math
@@ -16,43 +16,44 @@
 from gypsumfold.decisions import loads
 from gypsumfold.decisions import types
 
-# Sequences sent ahead of a full batch, so that a slot that falls free is
-# filled without waiting for a round trip and the next report.
+# Sequences sent beyond a full batch, so that a free slot is filled without
+# waiting for a round trip and the next report.
 SLOTS_AHEAD = 1
-# Share of a replica kept for urgency 0. One slot of a batch of eight: six
-# engines then hold six slots, against urgent work of a tenth of all.
+# Fraction of a replica reserved for urgency 0: one slot of a batch of eight, so
+# six of the 48 slots of six engines, where a tenth of the work is urgent.
 HEADROOM_FRACTION = 0.125
-# Share of a replica up to which long jobs may fill it while short ones come
-# too; half leaves every short job a slot that turns over quickly.
+# Fraction of a replica that long requests may fill while short ones arrive;
+# half leaves short requests slots that turn over quickly.
 LONG_FRACTION = 0.5
-# Share of the KV cache above which an engine would preempt sequences;
-# vLLM's default watermark leaves 1 % and a sequence grows while it runs.
+# Fraction of the KV cache from which an engine may preempt sequences: vLLM's
+# default watermark leaves 1 %, and a sequence grows while it runs.
 KV_FULL_FRACTION = 0.95
-# Seconds of prompts that may wait inside an engine for its next steps; beyond
-# the report's age and a step or two, more only makes later urgent work wait.
+# Seconds of prompts that may wait inside an engine for its next steps: beyond
+# the report's age and a step or two, more only delays later urgent requests.
 PREFILL_AHEAD_SECONDS = 0.6
-# Own dispatches to a replica whose report is missing or stale: enough to
-# notice that it works, too few to flood it.
+# Own dispatches to a replica whose report is missing or stale: enough to notice
+# that it works, too few to overload it.
 UNKNOWN_LIMIT = 2
-# Plain services report no batch: start here and adapt (AIMD; Jacobson 1988).
+# Plain services report no batch size: their limit starts here and adapts (AIMD;
+# Jacobson 1988).
 INITIAL_LIMIT = 8.0
 MIN_LIMIT = 1.0
 MAX_LIMIT = 1024.0
 DECREASE_FACTOR = 0.9
-# A plain call that takes this many times the usual fast one says that calls
-# queue at the service; below it is noise.
+# A plain call that takes this many times the fast time shows that calls queue
+# at the service; smaller factors are noise.
 SLOW_FACTOR = 2.0
-# Each sample moves the fast time up by this share, so that a service that
-# has become slower for good is not held down for ever.
+# Each sample raises the fast time by this fraction, so that the limit of a
+# service that has become slower for good can grow again.
 FAST_DRIFT_FRACTION = 0.01
 
 
 class PlainLimit(NamedTuple):
-    """What was learnt of a replica of a plain service.
+    """The adaptive limit of a replica of a plain service.
 
     Attributes:
         limit: Own calls it may hold.
-        fast: Seconds of a call that does not queue.
+        fast_seconds: Seconds of a call that does not queue.
     """
 
     limit: float
@@ -60,10 +61,10 @@
 
 
 class Limits(Protocol):
-    """Says whether one replica may take one more request."""
+    """Decides whether a replica may take one more request."""
 
     def capacity(self, replica: types.Replica, load: loads.Load) -> int:
-        """Requests that it may hold at once, of the most urgent kind."""
+        """Requests of the most urgent kind that it may hold at once."""
 
     def has_capacity(
         self,
@@ -72,36 +73,36 @@
         urgency: int,
         long: bool,
     ) -> bool:
-        """Whether it may take one more.
+        """Whether a replica may take one more request.
 
         Args:
             replica: The replica.
-            load: What is believed of it.
-            urgency: That the request is served with.
-            long: Whether it is a long one that must leave room for short
-                ones.
+            load: Its estimated load.
+            urgency: The urgency that the request is served with.
+            long: Whether it is a long request that must leave capacity for
+                short ones.
         """
 
     def set_node_share(self, share: float) -> None:
-        """Sets this node's share of what all nodes send, above 0 to 1."""
+        """Sets this node's share of all nodes' demand, in (0, 1]."""
 
     def observe(
         self, entry: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
-        """Learns from the end of a dispatch.
+        """Adapts the limit to the result of a dispatch.
 
         Args:
             entry: The dispatch.
-            result: Its end.
+            result: Its result.
             own: Own dispatches at the replica before it ended.
         """
 
 
 class AdaptiveLimits:
-    """The batch of an engine; an adaptive limit for a plain service.
+    """The batch size of an engine; an adaptive limit for a plain service.
 
     >>> limits = AdaptiveLimits(random.Random(1))
-    >>> limits.room(replica, load, urgency=0, long=False)
+    >>> limits.has_capacity(replica, load, urgency=0, long=False)
     True
     """
 
@@ -112,11 +113,11 @@
         self.draws: dict[str, tuple[float, float]] = {}
 
     def set_node_share(self, share: float) -> None:
-        """Sets this node's share of what all nodes send, above 0 to 1."""
+        """Sets this node's share of all nodes' demand, in (0, 1]."""
         self.node_share = share
 
     def capacity(self, replica: types.Replica, load: loads.Load) -> int:
-        """Requests that it may hold at once, of the most urgent kind."""
+        """Requests of the most urgent kind that it may hold at once."""
         report = replica.report
         if report is None or report.batch <= 0:
             learnt = self.plain_limits.get(replica.name)
@@ -134,7 +135,7 @@
         urgency: int,
         long: bool,
     ) -> bool:
-        """Whether it may take one more."""
+        """Whether a replica may take one more request."""
         capacity = self.capacity(replica, load)
         plain = replica.report is None or replica.report.batch <= 0
         held = load.own if plain else load.occupied
@@ -157,8 +158,8 @@
     ) -> bool:
         """Whether few enough prompts wait inside the engine.
 
-        It has worked on them since the report was taken; of what it can
-        take by now this node sends its share.
+        The engine has worked on them since the report was taken; this node
+        uses its share of what the engine can take by now.
         """
         report = replica.report
         seconds = PREFILL_AHEAD_SECONDS + load.age
@@ -171,8 +172,8 @@
     ) -> bool:
         """Whether this node's share of the free slots has one left.
 
-        A share of less than a slot becomes one at random, once for each
-        report, so that the nodes' shares add up to what is free.
+        A fractional slot is rounded at random, once per report, so that the
+        nodes' shares add up to the free slots.
         """
         report = replica.report
         taken, draw = self.draws.get(replica.name, (-math.inf, 0.0))
@@ -187,7 +188,7 @@
     def observe(
         self, entry: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
-        """Learns from the end of a dispatch."""
+        """Adapts the limit of a plain service to the result of a dispatch."""
         if result.finish == types.Finish.CANCELLED:
             return
         old = self.plain_limits.get(
@@ -209,10 +210,10 @@
 
 
 class NoLimits:
-    """The baseline: a replica may always take one more."""
+    """The baseline: a replica may always take one more request."""
 
     def capacity(self, replica: types.Replica, load: loads.Load) -> int:
-        """More than anything here sends."""
+        """A limit that is never reached."""
         return int(MAX_LIMIT)
 
     def has_capacity(
@@ -222,13 +223,13 @@
         urgency: int,
         long: bool,
     ) -> bool:
-        """Always."""
+        """Returns True."""
         return True
 
     def set_node_share(self, share: float) -> None:
-        """Changes nothing."""
+        """Does nothing."""
 
     def observe(
         self, entry: loads.InFlightRequest, result: types.Result, own: int
     ) -> None:
-        """Learns nothing."""
+        """Does nothing."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/loads.py
@@ -1,8 +1,8 @@
-"""What each replica is doing now: its report and own dispatches since.
+"""Estimates replica loads from reports and this node's later dispatches.
 
-Load pattern: load reports that lag, so that a busy engine looks idle.
-Without it every request of the next second goes to the replica whose old
-report looks best, and the node floods it.
+Load pattern: load reports that lag, so that a busy engine looks idle. Without
+the correction, a node sends every request of the next second to the replica
+whose old report looks best, and overloads it.
 """
 
 import collections
@@ -11,21 +11,21 @@
 
 from gypsumfold.decisions import types
 
-# Seconds after which a report says nothing: eight polls at the default of
-# 0.25 s, the time after which an endpoint counts as silent too.
+# Age from which a report is ignored: eight polls at the default interval of
+# 0.25 s, after which an endpoint also counts as silent.
 STALE_AFTER_SECONDS = 2.0
 
 
 class InFlightRequest(NamedTuple):
-    """One own dispatch in progress.
+    """A request that this node has dispatched and that has not ended.
 
     Attributes:
-        request: What was dispatched.
-        replica: Where it went.
-        sent: When.
-        expected: Seconds it was expected to take.
+        request: The request.
+        replica: The replica it was sent to.
+        sent: Time when it was sent.
+        expected: Seconds it is expected to take.
         cost: Tokens that its account was charged.
-        long: Whether it takes much longer than usual.
+        long: Whether it is expected to take much longer than usual.
     """
 
     request: types.Request
@@ -37,16 +37,16 @@
 
 
 class Load(NamedTuple):
-    """What is believed of one replica now.
+    """The estimated load of one replica; "own" means sent by this node.
 
     Attributes:
         fresh: Whether the report is recent; if not, ``occupied`` counts own
-            dispatches alone and the rest is unknown.
+            dispatches only and the rest is unknown.
         occupied: Sequences running and waiting there.
-        prefill_tokens: Prompt tokens that still wait there.
+        prefill_tokens: Prompt tokens waiting for prefill there.
         own: Own dispatches in progress there.
-        unseen: Those of them that the report cannot contain.
-        gone: Own dispatches that the report contains and that have ended.
+        unseen: Own dispatches in progress, sent after the report was taken.
+        ended: Own dispatches that the report includes and that have ended.
         age: Seconds since the report was taken.
         long: Own dispatches in progress there that are long.
     """
@@ -62,32 +62,32 @@
 
 
 class EndedDispatch(NamedTuple):
-    """An own dispatch that ended; it may still be in the last report."""
+    """An own dispatch that ended; the last report may still include it."""
 
     sent: float
     ended: float
 
 
 class Loads(Protocol):
-    """Keeps the dispatches in progress and says how loaded a replica is."""
+    """Tracks dispatches in progress and estimates the load of replicas."""
 
     in_flight: dict[str, InFlightRequest]
 
     def sent(self, entry: InFlightRequest) -> None:
-        """Notes a dispatch."""
+        """Records a dispatch."""
 
     def prefill_sent(self, replica: str, tokens: int, now: float) -> None:
-        """Notes a prompt that an engine processes for another one."""
+        """Records a prompt that an engine prefills for another one."""
 
     def finished(self, request_id: str, now: float) -> InFlightRequest | None:
-        """Notes its end and returns it; None if it is not known."""
+        """Records the end of a dispatch; returns None if it is unknown."""
 
     def view(self, replica: types.Replica, now: float) -> Load:
-        """What is believed of the replica."""
+        """Estimates the load of a replica."""
 
 
 class CorrectedLoads:
-    """Adds own dispatches since the report was taken on top of it.
+    """Adds to each report the own dispatches sent since it was taken.
 
     >>> loads.sent(entry)
     >>> loads.view(replica, now=1.0).occupied
@@ -103,19 +103,19 @@
         self.prefills: dict[str, collections.deque[tuple[float, int]]] = {}
 
     def sent(self, entry: InFlightRequest) -> None:
-        """Notes a dispatch."""
+        """Records a dispatch."""
         self.in_flight[entry.request.id] = entry
         self.by_replica[entry.replica][entry.request.id] = entry.long
 
     def prefill_sent(self, replica: str, tokens: int, now: float) -> None:
-        """Notes a prompt that an engine processes for another one."""
+        """Records a prompt that an engine prefills for another one."""
         sent = self.prefills.setdefault(replica, collections.deque())
         sent.append((now, tokens))
         while sent[0][0] < now - STALE_AFTER_SECONDS:
             sent.popleft()
 
     def finished(self, request_id: str, now: float) -> InFlightRequest | None:
-        """Notes its end and returns it; None if it is not known."""
+        """Records the end of a dispatch; returns None if it is unknown."""
         entry = self.in_flight.pop(request_id, None)
         if entry is None:
             return None
@@ -127,39 +127,41 @@
         return entry
 
     def view(self, replica: types.Replica, now: float) -> Load:
-        """What is believed of the replica."""
-        at = self.by_replica.get(replica.name, {})
-        own = len(at)
-        long = sum(at.values())
+        """Estimates the load of a replica."""
+        dispatches = self.by_replica.get(replica.name, {})
+        own = len(dispatches)
+        long = sum(dispatches.values())
         report = replica.report
         if report is None or now - report.taken > STALE_AFTER_SECONDS:
             return Load(
-                False, own, self.prompt_tokens_since(at, 0.0), own, long
+                False, own, self.prompt_tokens_since(dispatches, 0.0), own, long
             )
-        unseen = self.count_unseen(at, report.taken)
-        gone = self.count_ended(replica.name, report.taken)
-        occupied = max(own, report.running + report.waiting + unseen - gone)
+        unseen = self.count_unseen(dispatches, report.taken)
+        ended = self.count_ended(replica.name, report.taken)
+        occupied = max(own, report.running + report.waiting + unseen - ended)
         prefill = report.prefill_tokens + self.prompt_tokens_since(
-            at, report.taken
+            dispatches, report.taken
         )
         for sent, tokens in self.prefills.get(replica.name, ()):
             prefill += tokens * (sent > report.taken)
         age = now - report.taken
-        return Load(True, occupied, prefill, own, long, unseen, gone, age)
+        return Load(True, occupied, prefill, own, long, unseen, ended, age)
 
-    def count_unseen(self, at: dict[str, bool], taken: float) -> int:
-        """Own dispatches that the report cannot contain."""
-        return sum(self.in_flight[name].sent > taken for name in at)
+    def count_unseen(self, dispatches: dict[str, bool], taken: float) -> int:
+        """Counts own dispatches in progress sent after ``taken``."""
+        return sum(self.in_flight[name].sent > taken for name in dispatches)
 
     def count_ended(self, replica: str, taken: float) -> int:
-        """Own dispatches that the report contains and that have ended."""
+        """Counts own dispatches that ended after a report including them."""
         ended = self.ended.get(replica, ())
         return sum(end.sent <= taken < end.ended for end in ended)
 
-    def prompt_tokens_since(self, at: dict[str, bool], taken: float) -> float:
-        """Prompt tokens of own dispatches since ``taken``."""
+    def prompt_tokens_since(
+        self, dispatches: dict[str, bool], taken: float
+    ) -> float:
+        """Prompt tokens of own dispatches sent after ``taken``."""
         total = 0.0
-        for name in at:
+        for name in dispatches:
             entry = self.in_flight[name]
             if entry.sent > taken:
                 total += entry.request.prompt_tokens
@@ -167,10 +169,10 @@
 
 
 class ReportedLoads(CorrectedLoads):
-    """The baseline: believes the last report, however old it is."""
+    """The baseline: uses the last report, however old it is."""
 
     def view(self, replica: types.Replica, now: float) -> Load:
-        """What the report says; an idle replica where there is none."""
+        """Load as reported; idle if there is no report."""
         own = len(self.by_replica.get(replica.name, {}))
         report = replica.report
         if report is None:
--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -1,13 +1,13 @@
-"""Which of the replicas takes a request.
-
-Load pattern: uneven engines and hot prompt prefixes, seen through reports
-that lag. Round robin ignores what a replica is doing; taking the one that
-looks least loaded sends all nodes to the same one until its next report.
-Two random choices avoid both (Mitzenmacher 2001). A prefix always goes to
-the same few replicas, which have it cached, but only while they are not much
-busier than the rest (consistent hashing with bounded loads, Mirrokni et al.
-2018); without the bound a hot prefix floods one engine. A request waits for
-the engine that has its prefix for as long as the prompt would take elsewhere.
+"""Chooses the replica for a request.
+
+Load pattern: uneven engines and hot prompt prefixes, seen through reports that
+lag. Round robin ignores what a replica is doing; choosing the least loaded one
+sends all nodes to the same replica until its next report. Two random choices
+avoid both (Mitzenmacher 2001). A prefix goes to the same few replicas, which
+have it cached, but only while they are not much busier than the rest
+(consistent hashing with bounded loads, Mirrokni et al. 2018); without the bound
+a hot prefix overloads one engine. A request waits for the engine that has its
+prefix for at most the time that prefill would take elsewhere.
 """
 
 import random
@@ -19,26 +19,26 @@
 from gypsumfold.decisions import loads
 from gypsumfold.decisions import types
 
-# A replica takes work for its cached prefixes while its load is below this
-# multiple of the mean, and one more; 1.25 is the paper's figure.
+# A replica takes requests for its cached prefixes while its load is at most
+# this multiple of the mean plus one request; 1.25 is the paper's value.
 LOAD_BOUND_FACTOR = 1.25
-# Load above which another data centre is looked at. The way there costs
-# half a millisecond; waiting for a slot costs seconds.
+# Load from which replicas in other data centres are used too. The network path
+# costs half a millisecond; waiting for a slot costs seconds.
 NEAR_FULL_FRACTION = 0.75
-# Prompts below this gain less from a cached prefix than a second choice
-# gains: 64 tokens are 16 ms of prefill at 4,000 tokens a second.
+# Shorter prompts gain less from a cached prefix than from a second choice: 64
+# tokens take 16 ms of prefill at 4,000 tokens per second.
 SHORT_PROMPT_TOKENS = 64
 
 
 class Candidate(NamedTuple):
-    """A replica that serves what the request asks for.
+    """A replica that can serve the request.
 
     Attributes:
-        replica: It.
-        load: What is believed of it.
+        replica: The replica.
+        load: Its estimated load.
         capacity: Requests that it may hold.
-        weight: Share of its usual work that it should get.
-        room: Whether it may take the request now.
+        weight: Fraction of its usual work that it should get.
+        has_capacity: Whether it may take the request now.
     """
 
     replica: types.Replica
@@ -49,7 +49,7 @@
 
 
 class Placement(Protocol):
-    """Chooses among replicas."""
+    """Chooses among candidate replicas."""
 
     def choose(
         self,
@@ -57,17 +57,20 @@
         candidates: list[Candidate],
         waited: float,
     ) -> Candidate | None:
-        """Picks one that has room; None to wait for a better one.
+        """Chooses a candidate with capacity; None to wait for a better one.
 
         Args:
-            request: What is to be sent.
-            candidates: Those that serve it.
+            request: The request to send.
+            candidates: Replicas that can serve it.
             waited: Seconds that it has waited already.
+
+        Returns:
+            The candidate, or None if the request has to wait.
         """
 
 
 class TwoChoices:
-    """Prefix affinity with bounded load, else the better of two.
+    """Prefix affinity with bounded load, else the better of two at random.
 
     >>> rng = random.Random(1)
     >>> TwoChoices("north-apron", rng).choose(request, found, waited=0.0)
@@ -84,12 +87,14 @@
         candidates: list[Candidate],
         waited: float,
     ) -> Candidate | None:
-        """Picks one that has room; None to wait for a better one."""
+        """Chooses a candidate with capacity; None to wait for a better one."""
         if request.prefix and request.prompt_tokens >= SHORT_PROMPT_TOKENS:
-            home = self.preferred(request, candidates)
-            if home is not None and home.has_capacity:
-                return home
-            if home is not None and waited < saved_seconds(request, home):
+            preferred = self.preferred(request, candidates)
+            if preferred is not None and preferred.has_capacity:
+                return preferred
+            if preferred is not None and waited < saved_seconds(
+                request, preferred
+            ):
                 return None
         pool = self.prefer_local(candidates)
         if len(pool) > 2:
@@ -99,7 +104,7 @@
     def preferred(
         self, request: types.Request, candidates: list[Candidate]
     ) -> Candidate | None:
-        """The first replica in the prefix's order within the bound."""
+        """The first replica within the load bound, in rendezvous order."""
         if not candidates:
             return None
         mean = sum(occupancy(one) for one in candidates) / len(candidates)
@@ -116,7 +121,7 @@
         return None
 
     def prefer_local(self, candidates: list[Candidate]) -> list[Candidate]:
-        """Those with room, the own data centre's while not nearly full."""
+        """Candidates with capacity; local ones if any is not nearly full."""
         open_ones = [one for one in candidates if one.has_capacity]
         near = []
         for one in open_ones:
@@ -127,40 +132,40 @@
         return near or open_ones
 
 
-def saved_seconds(request: types.Request, home: Candidate) -> float:
+def saved_seconds(request: types.Request, preferred: Candidate) -> float:
     """Seconds of prefill that a cached prompt saves."""
-    report = home.replica.report
+    report = preferred.replica.report
     if report is None or report.prefill_rate <= 0:
         return 0.0
     return request.prompt_tokens / report.prefill_rate
 
 
 def occupancy(candidate: Candidate) -> float:
-    """Load as a share of capacity; a stale report counts as full."""
+    """Load as a fraction of capacity; a stale report counts as full."""
     if not candidate.load.fresh:
         return 1.0
     return candidate.load.occupied / max(1, candidate.capacity)
 
 
 def cost(request: types.Request, candidate: Candidate) -> float:
-    """Seconds the request would wait and be slowed down there, weighted."""
+    """Expected seconds of prefill and decode there, divided by the weight."""
     report = candidate.replica.report
-    crowd = occupancy(candidate)
+    load = occupancy(candidate)
     if report is None or report.decode_rate <= 0:
-        return (crowd + 1.0 / max(1, candidate.capacity)) / candidate.weight
+        return (load + 1.0 / max(1, candidate.capacity)) / candidate.weight
     prompts = candidate.load.prefill_tokens + request.prompt_tokens
     prefill = prompts / max(1.0, report.prefill_rate)
     decode = request.output_tokens / report.decode_rate
-    return (prefill + (1.0 + crowd) * decode) / candidate.weight
+    return (prefill + (1.0 + load) * decode) / candidate.weight
 
 
 def rendezvous_weight(key: int, name: str) -> int:
-    """The weight of a name for a key in rendezvous hashing."""
+    """Weight of a replica name for a key in rendezvous hashing."""
     return xxhash.xxh3_64_intdigest(f"{key}\n{name}".encode())
 
 
 class LeastLoaded:
-    """A baseline: whatever looks least loaded."""
+    """A baseline: the replica that looks least loaded."""
 
     def choose(
         self,
@@ -168,7 +173,7 @@
         candidates: list[Candidate],
         waited: float,
     ) -> Candidate | None:
-        """Picks the least loaded, by name where equal."""
+        """Chooses the least loaded candidate; ties are broken by name."""
         return min(
             (one for one in candidates if one.has_capacity),
             key=lambda one: (one.load.occupied, one.replica.name),
@@ -177,7 +182,7 @@
 
 
 class RoundRobin:
-    """The plainest baseline: round robin."""
+    """The simplest baseline: round robin."""
 
     def __init__(self):
         self.turn = 0
@@ -188,7 +193,7 @@
         candidates: list[Candidate],
         waited: float,
     ) -> Candidate | None:
-        """Picks the next."""
+        """Chooses the next candidate in turn."""
         ordered = sorted(
             (one for one in candidates if one.has_capacity),
             key=lambda one: one.replica.name,
--- a/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/recovery.py
@@ -1,10 +1,11 @@
-"""Where work re-enters the queue after its engine failed.
-
-Load pattern: an engine crashes with a full batch while others queue. The
-rear of the queue makes such work wait twice; the head makes a crash of one
-engine everybody's delay. The three places are options B, D and E of AuCoRe
-(Tang et al., "Automatic and Coordinated Job Recovery for High Performance
-Computing"), measured on both sides in docs/MEASUREMENTS.md.
+"""Decides where requests re-enter the queue after their engine failed.
+
+Load pattern: an engine crashes with a full batch while other requests wait.
+At the back of the queue, recovered requests wait twice; at the front, the
+crash of one engine delays all others. The three positions are options B, D and
+E of AuCoRe (Tang et al., "Automatic and Coordinated Job Recovery for High
+Performance Computing"); docs/MEASUREMENTS.md compares them for recovered and
+for other requests.
 """
 
 from typing import Protocol
@@ -16,46 +17,46 @@
     """Orders the waiting requests of one account and urgency."""
 
     def position(self, request: types.Request, now: float) -> float:
-        """Lower goes first."""
+        """Sort key of a request; lower is served first."""
 
 
 class BackOfQueue:
-    """As if it had come just now (option B).
+    """At the back, as if the request had just arrived (option B).
 
-    >>> Rear().position(request, now=5.0)
+    >>> BackOfQueue().position(request, now=5.0)
     5.0
     """
 
     def position(self, request: types.Request, now: float) -> float:
-        """The time of entry."""
+        """Time of entry into the queue."""
         return now
 
 
 class ByArrival:
-    """Where it would have stood had it never been sent (option D).
+    """Where the request would be if it had never been sent (option D).
 
     >>> ByArrival().position(request, now=5.0) == request.arrival
     True
     """
 
     def position(self, request: types.Request, now: float) -> float:
-        """The time of its first arrival."""
+        """Time of its first arrival."""
         return request.arrival
 
 
 class FrontOfQueue:
-    """Before all that waits (option E).
+    """At the front, before all waiting requests (option E).
 
-    >>> Head().position(recovered, now=5.0) < 0
+    >>> FrontOfQueue().position(recovered, now=5.0) < 0
     True
     """
 
     def position(self, request: types.Request, now: float) -> float:
-        """Recovered work goes first, the oldest of it before the rest."""
+        """Recovered requests first, in order of arrival."""
         if request.recovered:
             return request.arrival - FRONT_OFFSET_SECONDS
         return request.arrival
 
 
-# Seconds; more than any clock here runs, so that recovered work sorts first.
+# More than any clock here reaches, so that recovered requests sort first.
 FRONT_OFFSET_SECONDS = 1e12
--- a/packages/gypsumfold/src/gypsumfold/decisions/types.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/types.py
@@ -1,8 +1,8 @@
-"""What the decisions are about: requests, replicas, reports and actions.
+"""Types that the decisions use: requests, replicas, reports and actions.
 
-Times are seconds of one monotonic clock that the caller of a decision passes
-in; tokens are counts. Nothing here reads a clock, a socket or a random
-source of its own.
+Times are in seconds of one monotonic clock, whose value the caller of a
+decision passes in. Decisions read no clock, socket or random source of their
+own.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class Role(enum.StrEnum):
-    """What an engine does."""
+    """Role of an engine."""
 
     MIXED = "mixed"
     PREFILL = "prefill"
@@ -18,25 +18,25 @@
 
 
 class Request(NamedTuple):
-    """One request of a caller, as far as decisions need it.
+    """The properties of a caller's request that decisions need.
 
     Attributes:
-        id: The dispatch id, unique for the life of the node.
-        account: Who pays for it.
-        model: Model, adapter and version asked for; empty for plain calls.
+        id: The dispatch ID, unique for the lifetime of the node.
+        account: The client account it is charged to.
+        model: Requested model, adapter and version; empty for plain calls.
         kind: The declared kind of request.
-        urgency: 0 is the most urgent; larger may wait longer.
-        arrival: When the node had read it.
-        deadline: When its answer is worth nothing any more.
+        urgency: 0 is the most urgent; larger values may wait longer.
+        arrival: Time when the node had received it.
+        deadline: Time after which its answer is useless.
         prompt_tokens: Length of the prompt.
-        output_tokens: Most tokens that the answer may have.
-        prefix: Hash of the prompt's beginning; 0 where there is none.
+        output_tokens: Maximum length of the answer.
+        prefix: Hash of the prompt prefix; 0 if there is none.
         repeatable: Whether it may be run more than once.
         recovered: Whether an engine failed while running it; ``arrival`` is
-            then still the first one.
-        service: The service that it is for.
-        avoid: Replicas that failed it before; not to be chosen while there
-            is another.
+            still its first arrival.
+        service: The service it is for.
+        avoid: Replicas on which it failed before; chosen only if there is no
+            other.
     """
 
     id: str
@@ -56,17 +56,17 @@
 
 
 class Report(NamedTuple):
-    """What an engine last said about its load.
+    """The last load report of an engine.
 
     Attributes:
-        taken: When the engine took the figures (not when they arrived).
+        taken: Time when the engine measured it (not when it arrived).
         running: Sequences in the batch.
         waiting: Sequences in the engine's own queue.
-        prefill_tokens: Prompt tokens that still wait to be processed.
-        kv_used: Share of the KV cache in use, 0 to 1.
-        batch: Most sequences that the engine runs at once.
-        prefill_rate: Prompt tokens a second of the engine, alone.
-        decode_rate: Output tokens a second of one sequence, alone.
+        prefill_tokens: Prompt tokens waiting for prefill.
+        kv_used: Fraction of the KV cache in use, 0 to 1.
+        batch: Maximum number of sequences that the engine runs at once.
+        prefill_rate: Prompt tokens per second of the idle engine.
+        decode_rate: Output tokens per second of a sequence that runs alone.
     """
 
     taken: float
@@ -80,16 +80,16 @@
 
 
 class Replica(NamedTuple):
-    """One endpoint that could take work.
+    """An endpoint that may take requests.
 
     Attributes:
         name: The endpoint's name.
-        data_centre: Where it stands.
-        role: Of an engine; `Role.MIXED` for plain services.
-        open: Whether new work may go there at all (not drained, leaving,
+        data_centre: Its data centre.
+        role: Role of an engine; `Role.MIXED` for plain services.
+        open: Whether it accepts new requests (it isn't drained, leaving,
             silent or closed for a planned change).
-        report: The last report; None where there is none.
-        models: Model names that it can serve; empty for plain services.
+        report: The last load report; None if there is none.
+        models: Names of the models it can serve; empty for plain services.
     """
 
     name: str
@@ -101,13 +101,13 @@
 
 
 class Dispatch(NamedTuple):
-    """Send this request to this replica now.
+    """The action of sending a request to a replica.
 
     Attributes:
         request: The request.
         replica: The replica that runs it.
-        prefill: The replica that processes its prompt first and hands the KV
-            cache over; empty where ``replica`` does all.
+        prefill: The replica that prefills its prompt first and transfers the
+            KV cache; empty if ``replica`` does both.
     """
 
     request: Request
@@ -116,12 +116,12 @@
 
 
 class Refuse(NamedTuple):
-    """Give this request its final answer now.
+    """The action of refusing a request that was not dispatched.
 
     Attributes:
-        request: It was not dispatched.
+        request: The request.
         reason: One sentence for the caller.
-        retry_after: Seconds after which a repeat makes sense.
+        retry_after: Seconds after which the caller should retry.
     """
 
     request: Request
@@ -133,11 +133,11 @@
 
 
 class Demand(NamedTuple):
-    """What callers ask of one service on one node, served or not.
+    """Demand for one service on one node, whether served or not.
 
     Attributes:
-        prompt_tokens: Tokens a second; a plain call counts as one.
-        output_tokens: Tokens a second that the answers are expected to have.
+        prompt_tokens: Prompt tokens per second; a plain call counts as one.
+        output_tokens: Expected output tokens per second.
         waiting: Requests in the queue.
     """
 
@@ -147,16 +147,16 @@
 
     @property
     def tokens(self) -> float:
-        """Prompt and output tokens a second."""
+        """Prompt and output tokens per second."""
         return self.prompt_tokens + self.output_tokens
 
 
 class Share(NamedTuple):
-    """What an account is entitled to at a service.
+    """An account's declared share of a service.
 
     Attributes:
-        weight: Its share against other accounts.
-        tokens_per_second: Most that it may use; 0 for no limit.
+        weight: Its weight relative to other accounts.
+        tokens_per_second: Its rate limit; 0 for no limit.
     """
 
     weight: float = 1.0
@@ -164,14 +164,14 @@
 
 
 class AccountUsage(NamedTuple):
-    """What one account uses of one service through one node."""
+    """Rate at which an account uses one service through one node."""
 
     account: str
     tokens_per_second: float
 
 
 class Finish(enum.StrEnum):
-    """How a dispatch ended, as its replica is to be judged by it."""
+    """How a dispatch ended, from which its replica's health is derived."""
 
     DONE = "done"
     CANCELLED = "cancelled"
@@ -181,14 +181,14 @@
 
 
 class Result(NamedTuple):
-    """The end of a dispatch.
+    """The result of a dispatch.
 
     Attributes:
         finish: How it ended.
-        first_token: Seconds from dispatch to the first token; None where
-            there was none.
-        seconds: From dispatch to the end.
-        output_tokens: Tokens that came.
+        first_token: Seconds from dispatch to the first token; None if there
+            was none.
+        seconds: Seconds from dispatch to the end.
+        output_tokens: Tokens received.
     """
 
     finish: Finish
