--- a/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/backlog.py
@@ -1,4 +1,4 @@
-"""How much waiting work goes before each request under fair queueing."""
+"""Computes the work queued ahead of each request under fair queueing."""
 
 import collections
 from collections.abc import Iterator
@@ -8,13 +8,13 @@
 
 
 class RankedRequest(NamedTuple):
-    """A waiting request as it will be served.
+    """A waiting request with what determines its turn.
 
     Attributes:
-        item: It.
+        item: The waiting request.
         rank: The urgency that it is served with.
-        account: Who sent it.
-        weight: Its account's weight.
+        account: Name of its account.
+        weight: Weight of its account.
     """
 
     item: queues.WaitingRequest
@@ -24,21 +24,21 @@
 
 
 class Backlog:
-    """Sums waiting work up, once for all that wait.
+    """Sums waiting work once, for all waiting requests.
 
-    An account is served no faster than its share: of each other account at
-    most as much goes before a request as its own account has before it. Long
-    requests let short ones pass.
+    An account is served no faster than its share: from each other account, at
+    most as much work goes ahead of a request as its own account has ahead of
+    it. Short requests overtake long ones.
 
-    >>> dict(Backlog(ranked).aheads())
+    >>> dict(Backlog(ranked).queued_ahead())
     {'call-1': 0.0, 'call-2': 1.5}
     """
 
     def __init__(self, ranked: list[RankedRequest]):
-        """Sums up.
+        """Sums the work by rank and account.
 
         Args:
-            ranked: All that wait, in order within each account.
+            ranked: All waiting requests, in order within each account.
         """
         self.ranked = ranked
         self.short_work: dict[int, collections.Counter] = {}
@@ -56,7 +56,7 @@
         work[one.account] += one.item.work / one.weight
 
     def queued_ahead(self) -> Iterator[tuple[queues.WaitingRequest, float]]:
-        """Yields each request with the seconds of work before it."""
+        """Yields each request with the seconds of work queued ahead of it."""
         own: dict[tuple[str, bool], float] = collections.defaultdict(float)
         for one in self.ranked:
             before = own[one.account, False]
@@ -66,7 +66,7 @@
             own[one.account, one.item.long] += one.item.work
 
     def others_ahead(self, one: RankedRequest, before: float) -> float:
-        """Seconds of other accounts' work that go before a request."""
+        """Seconds of other accounts' work queued ahead of a request."""
         totals = self.total_work if one.item.long else self.short_work
         share = (before + one.item.work) / one.weight
         total = 0.0
--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -1,16 +1,16 @@
-"""Whose request is next: urgency first, then fair shares by tokens.
+"""Orders requests by urgency, then by fair shares of tokens.
 
-Load pattern: one account that sends far more than the others, through one
-node or all of them, or that calls everything urgent. Without it the share of
-an account is whatever it sends, and urgency is worth nothing as soon as one
-account claims it for everything.
+Load pattern: one account that sends far more than the others, through one node
+or all of them, or that declares everything urgent. Without fair queueing, an
+account's share is whatever it sends, and urgency means nothing once one account
+claims it for everything.
 
 Start-time fair queueing (Goyal et al. 1996): each account has a tag that
-moves on by tokens over weight whenever one of its requests is sent; the
-lowest tag goes first. What an account uses through other nodes, known from
-the digest of the hottest accounts, counts as well. Urgency is honoured up to
-the account's fair share of all tokens; what it calls urgent beyond that
-waits among the others' ordinary work.
+advances by tokens over weight whenever one of its requests is sent; the lowest
+tag goes first. Usage through other nodes, known from the digests of the
+heaviest accounts, counts as well. Urgency is honoured up to the account's fair
+share of all tokens; urgent requests beyond that wait among the others' ordinary
+requests.
 """
 
 import bisect
@@ -22,31 +22,32 @@
 from gypsumfold.decisions import queues
 from gypsumfold.decisions import types
 
-# Seconds over which an account's use is remembered; a few answers long, and
-# several digest rounds of half a second.
+# Time constant of an account's usage: a few answers and several digest rounds
+# of half a second.
 MEMORY_SECONDS = 10.0
-# Requests of one account that are tried before the next account's, where the
-# first cannot be placed (for example a long one).
+# Requests of one account that are tried before the next account's, in case the
+# first can't be placed (for example a long one).
 MAX_TRIED_PER_ACCOUNT = 4
-# Urgent requests that are always honoured within `MEMORY`: a share cannot be
-# told from one or two of them.
+# Urgent requests that are always honoured within `MEMORY_SECONDS`: one or two
+# are too few to compute a share from.
 MIN_URGENT_REQUESTS = 2
-# The urgency of a service's requests where all are alike.
+# Relative urgency of a service's requests if all have the same urgency.
 ORDINARY_URGENCY = 9
-# What an account without a declaration is entitled to.
+# Share of an account without a declared one.
 DEFAULT_SHARE = types.Share()
-# Seconds between two measurements of the fair share: short against `MEMORY`,
-# and 3,800 accounts are then looked at twice a second, not per request.
+# Interval between two computations of the fair share: short compared with
+# `MEMORY_SECONDS`, and 3,800 accounts are then scanned twice per second instead
+# of for each request.
 MEASURE_INTERVAL_SECONDS = 0.5
-# Tokens a second below which an account without waiting work is forgotten.
+# An account without waiting requests is dropped below this rate.
 IDLE_TOKENS_PER_SECOND = 1e-3
-# Most that the use through other nodes may multiply the cost here: 16 nodes
-# with equal parts of one account's traffic.
+# Upper bound of the factor by which usage through other nodes multiplies the
+# cost here: 16 nodes with equal parts of one account's traffic.
 MAX_REMOTE_FACTOR = 16.0
 
 
 class Account:
-    """What is known of one account on this node.
+    """Usage and waiting requests of one account on this node.
 
     >>> Account("north-air").rate(now=0.0)
     0.0
@@ -63,19 +64,19 @@
         self.remote_rate = 0.0
 
     def decay(self, now: float) -> None:
-        """Forgets what lies more than about `MEMORY` seconds back."""
+        """Decays the usage with time constant `MEMORY_SECONDS`."""
         factor = math.exp(-max(0.0, now - self.updated) / MEMORY_SECONDS)
         self.used *= factor
         self.used_urgent *= factor
         self.updated = now
 
     def rate(self, now: float) -> float:
-        """Tokens a second through this node."""
+        """Tokens per second through this node."""
         self.decay(now)
         return self.used / MEMORY_SECONDS
 
     def remote_factor(self, now: float) -> float:
-        """Use through all nodes over use through this one."""
+        """Usage through all nodes divided by usage through this one."""
         local = self.rate(now)
         if self.remote_rate <= 0 or local <= 0:
             return 1.0
@@ -83,11 +84,11 @@
 
 
 class FairQueue:
-    """Urgency first, then the account that is furthest behind its share.
+    """Serves by urgency, then the account that is furthest below its share.
 
     >>> queue = FairQueue()
     >>> queue.push(item, now=0.0)
-    >>> next(queue.ordered(now=0.0, long_room=True)).item == item
+    >>> next(queue.ordered(now=0.0, allow_long=True)).item == item
     True
     """
 
@@ -103,7 +104,7 @@
         self.shares: dict[str, types.Share] = {}
 
     def push(self, item: queues.WaitingRequest, now: float) -> None:
-        """Takes a request in."""
+        """Adds a request."""
         request = item.request
         account = self.account(request.account)
         if not account.items:
@@ -115,7 +116,7 @@
         self.most_urgent = min(self.most_urgent, request.urgency)
 
     def account(self, name: str) -> Account:
-        """The account, made on its first request."""
+        """Returns an account, creating it on its first request."""
         account = self.accounts.get(name)
         if account is None:
             account = self.accounts[name] = Account(name)
@@ -123,7 +124,7 @@
         return account
 
     def remove(self, request_id: str) -> queues.WaitingRequest | None:
-        """Takes a request out; None if it is not there."""
+        """Removes and returns a request; None if it isn't in the queue."""
         item = self.waiting.pop(request_id, None)
         if item is None:
             return None
@@ -133,7 +134,7 @@
         return item
 
     def ordered(self, now: float, allow_long: bool) -> Iterator[queues.Turn]:
-        """The next requests to try, best first."""
+        """Yields the next requests to try, best first."""
         self.update_fair_share(now)
         ranked = []
         for account in self.backlogged_accounts():
@@ -148,7 +149,7 @@
     def sendable(
         self, account: Account, allow_long: bool
     ) -> list[queues.WaitingRequest]:
-        """The first requests of an account that may be sent."""
+        """The first requests of an account that may be sent now."""
         found = []
         for key in account.items:
             item = self.waiting[key[2]]
@@ -160,14 +161,14 @@
         return found
 
     def backlogged_accounts(self) -> list[Account]:
-        """The accounts with a request that waits."""
+        """The accounts with waiting requests, by name."""
         names = {item.request.account for item in self.waiting.values()}
         return [self.accounts[name] for name in sorted(names)]
 
     def update_fair_share(self, now: float) -> None:
-        """Works out what `rank` compares an account with.
+        """Computes what `effective_urgency` compares an account with.
 
-        These are the fair share of tokens a second per unit of weight, and
+        These are the fair share of tokens per second per unit of weight, and
         the two least urgent requests that are next in their accounts.
         """
         self.least_urgent_next = sorted(
@@ -192,28 +193,28 @@
     ) -> int:
         """The urgency that a request is served with."""
         urgency = item.request.urgency
-        others = self.least_urgent_other(account)
-        if urgency >= others:
+        ordinary = self.least_urgent_other(account)
+        if urgency >= ordinary:
             return urgency
-        spread = account.remote_factor(now)
-        if account.used_urgent * spread <= MIN_URGENT_REQUESTS * item.cost:
+        factor = account.remote_factor(now)
+        if account.used_urgent * factor <= MIN_URGENT_REQUESTS * item.cost:
             return urgency
         if (
-            account.used_urgent / MEMORY_SECONDS * spread
+            account.used_urgent / MEMORY_SECONDS * factor
             <= self.fair_share * account.weight
         ):
             return urgency
-        return others
+        return ordinary
 
     def least_urgent_other(self, but: Account) -> int:
-        """The least urgent request that is next in another account."""
+        """Urgency of the least urgent request next in another account."""
         for urgency, name in reversed(self.least_urgent_next):
             if name != but.name:
                 return urgency
         return 0
 
     def charge(self, item: queues.WaitingRequest, now: float) -> None:
-        """Charges the account of a request that is sent now."""
+        """Charges a request that is being sent to its account."""
         request = item.request
         account = self.account(request.account)
         self.virtual_time = max(self.virtual_time, account.tag)
@@ -225,7 +226,7 @@
             account.used_urgent += cost
 
     def settle(self, request: types.Request, charged: float, used: float):
-        """Corrects a charge by what was used."""
+        """Replaces a charge by the tokens used."""
         account = self.accounts.get(request.account)
         if account is None:
             return
@@ -235,7 +236,7 @@
     def queued_ahead(
         self, now: float
     ) -> Iterator[tuple[queues.WaitingRequest, float]]:
-        """Yields each request with the seconds of work that go before it."""
+        """Yields each request with the seconds of work queued ahead of it."""
         self.update_fair_share(now)
         ranked = []
         for account in self.backlogged_accounts():
@@ -250,20 +251,20 @@
         yield from backlog.Backlog(ranked).queued_ahead()
 
     def relative_urgency(self, urgency: int) -> int:
-        """The urgency against the service's most urgent kind, which is 0.
+        """Urgency relative to the service's most urgent kind, which is 0.
 
-        Where all are of one urgency, none is urgent.
+        If all requests have the same urgency, none is urgent.
         """
         if self.least_urgent <= self.most_urgent:
             return ORDINARY_URGENCY
         return urgency - self.most_urgent
 
     def refresh(self, item: queues.WaitingRequest) -> None:
-        """Replaces the estimates of a request that waits."""
+        """Replaces the estimates of a waiting request."""
         self.waiting[item.request.id] = item
 
     def victim(self, now: float) -> queues.WaitingRequest | None:
-        """The last request of the heaviest account in the lowest class."""
+        """The last request of the heaviest account at the lowest urgency."""
         self.update_fair_share(now)
         work: dict[str, float] = collections.Counter()
         for item in self.waiting.values():
@@ -282,20 +283,20 @@
         return worst
 
     def set_remote_usage(self, uses: list[types.AccountUsage]) -> None:
-        """Replaces what accounts use through other nodes."""
+        """Replaces the accounts' usage through other nodes."""
         for account in self.accounts.values():
             account.remote_rate = 0.0
         for use in uses:
             self.account(use.account).remote_rate += use.tokens_per_second
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
-        """Replaces what accounts are entitled to."""
+        """Replaces the accounts' declared shares."""
         self.shares = shares
         for account in self.accounts.values():
             account.weight = shares.get(account.name, DEFAULT_SHARE).weight
 
     def is_over_limit(self, name: str, now: float) -> bool:
-        """Whether an account uses more than its declared limit."""
+        """Whether an account exceeds its declared limit."""
         limit = self.shares.get(name, DEFAULT_SHARE).tokens_per_second
         if limit <= 0 or name not in self.accounts:
             return False
@@ -305,7 +306,7 @@
     def hottest_accounts(
         self, most: int, now: float
     ) -> list[types.AccountUsage]:
-        """The accounts that use most here, for the digest to peers."""
+        """The heaviest accounts on this node, for the digest to peers."""
         uses = []
         for account in self.accounts.values():
             rate = account.rate(now)
@@ -316,22 +317,22 @@
 
 
 class FIFOQueue(FairQueue):
-    """The baseline: strictly by time of entry, whoever sends."""
+    """The baseline: strictly by time of entry, regardless of the account."""
 
     def ordered(self, now: float, allow_long: bool) -> Iterator[queues.Turn]:
-        """In order of entry."""
+        """Yields the requests in order of entry."""
         for item in sorted(self.waiting.values(), key=lambda one: one.since):
             yield queues.Turn(item, self.relative_urgency(item.request.urgency))
 
     def queued_ahead(
         self, now: float
     ) -> Iterator[tuple[queues.WaitingRequest, float]]:
-        """All that entered before goes before."""
+        """Yields each request with the work that entered before it."""
         total = 0.0
         for turn in self.ordered(now, allow_long=True):
             yield turn.item, total
             total += turn.item.work
 
     def victim(self, now: float) -> queues.WaitingRequest | None:
-        """The last one."""
+        """The request that entered last."""
         return max(self.waiting.values(), key=lambda item: item.since)
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -1,9 +1,8 @@
-"""The scheduler that the real path uses: all decisions of one service.
+"""The scheduler used in production, composed of the decision modules.
 
-It composes admission, fairness, placement, limits, outliers and recovery;
-each of them states the load pattern that it answers. Work waits here, where
-it can still be refused, reordered and sent elsewhere, and not in the
-engines.
+It combines admission, fairness, placement, limits, outliers and recovery; each
+module states the load pattern it handles. Requests wait here and not in the
+engines, since here they can still be refused, reordered or sent elsewhere.
 """
 
 import random
@@ -22,15 +21,15 @@
 from gypsumfold.decisions import selection
 from gypsumfold.decisions import types
 
-# Seconds for which work waits while no replica is open at all: a replica
-# that restarts or changes its role is often back by then.
+# Time for which requests wait while no replica is open: a replica that restarts
+# or changes its role is often back within it.
 CLOSED_GRACE_SECONDS = 1.0
-# Waiting requests that are tried in one go; more only matter where the first
-# ones are for models that have no room.
+# Waiting requests tried for one action; more matter only if the first ones are
+# for models without free capacity.
 MAX_TRIED = 64
-# Seconds between two reviews of all that wait; reports come as often.
+# Interval between two reviews of all waiting requests; reports arrive as often.
 REVIEW_INTERVAL_SECONDS = 0.25
-# Reasons of refusals, for callers.
+# Refusal reasons sent to callers.
 OVER_LIMIT = "the account uses more tokens a second than it may"
 TOO_LATE = "the answer would come after its deadline"
 TOO_MANY = "too many requests wait"
@@ -42,8 +41,8 @@
 
     Attributes:
         data_centre: Where this node stands.
-        most_waiting: Requests that may wait here at once. Each holds a
-            caller's connection of about 50 KB; 512 are 25 MB.
+        max_waiting: Maximum number of waiting requests. Each holds a caller's
+            connection of about 50 KB; 512 take 25 MB.
     """
 
     data_centre: str = ""
@@ -53,7 +52,7 @@
 def default_components(
     policy: Policy, rng: random.Random
 ) -> selection.Components:
-    """The parts that the real path uses."""
+    """Creates the components used in production."""
     return selection.Components(
         queue=fairness.FairQueue(),
         admission=admission.DeadlineAdmission(policy.max_waiting, rng),
@@ -90,7 +89,7 @@
         self.last_review = float("-inf")
 
     def offer(self, request: types.Request, now: float) -> list[types.Action]:
-        """Takes a new request in and returns what to do now."""
+        """Adds a new request and returns the actions to take now."""
         item = self.new_item(request, now)
         if not item.long:
             self.selection.lengths.last_short = now
@@ -111,9 +110,9 @@
     def refuse_if_unservable(
         self, item: queues.WaitingRequest, now: float
     ) -> list[types.Action]:
-        """Refuses a request that must wait, if it cannot be in time.
+        """Refuses a request that must wait and can't be on time.
 
-        If too many wait then, one of them is given up for it.
+        If it may wait but too many requests do, one of these is refused.
         """
         ahead = 0.0
         for other, before in self.components.queue.queued_ahead(now):
@@ -135,13 +134,13 @@
         urgency: int,
         now: float,
     ) -> list[types.Action]:
-        """Refuses a waiting request that cannot be in time.
+        """Refuses a waiting request that can't be on time.
 
         Args:
-            item: It.
-            ahead: Seconds of work that go before it.
-            urgency: To judge it by; 0 leaves no margin.
-            now: The time.
+            item: The waiting request.
+            ahead: Seconds of work queued ahead of it.
+            urgency: Urgency that determines the margin; 0 leaves none.
+            now: Current time.
         """
         estimate = self.wait_estimate(item, ahead, now)._replace(
             urgency=urgency
@@ -152,10 +151,11 @@
         return [self.refuse(item, TOO_LATE, wait)]
 
     def review(self, now: float) -> list[types.Action]:
-        """Judges all that wait again, by what is known by now.
+        """Checks all waiting requests again with current estimates.
 
-        In a burst the engines slow down after the first ones were let in.
-        Without a margin, since a passing state must not be made final.
+        In a burst the engines slow down after the first requests were admitted.
+        No margin is applied, so that a temporary slowdown doesn't cause
+        refusals, which are final.
         """
         if now - self.last_review < REVIEW_INTERVAL_SECONDS:
             return []
@@ -170,14 +170,14 @@
         return actions
 
     def withdraw(self, request_id: str, now: float) -> list[types.Action]:
-        """Forgets a request that still waits: its caller has gone."""
+        """Drops a waiting request whose caller has disconnected."""
         self.components.queue.remove(request_id)
         return []
 
     def finished(
         self, request_id: str, result: types.Result, now: float
     ) -> list[types.Action]:
-        """Notes the end of a dispatch and returns what to do now."""
+        """Records the end of a dispatch and returns the actions to take."""
         entry = self.components.loads.in_flight.get(request_id)
         if entry is None:
             return self.dispatch_waiting(now)
@@ -200,7 +200,7 @@
     def update(
         self, replicas: list[types.Replica], now: float
     ) -> list[types.Action]:
-        """Replaces what is known of the replicas."""
+        """Replaces the state of the replicas."""
         self.selection.replicas = {one.name: one for one in replicas}
         if any(replica.open for replica in replicas):
             self.closed_since = None
@@ -209,7 +209,7 @@
         return self.dispatch_waiting(now)
 
     def tick(self, now: float) -> list[types.Action]:
-        """Refuses what is now too late and looks for overdue work."""
+        """Refuses requests that are now late and checks for overdue work."""
         self.selection.report_overdue(now)
         actions = self.review(now)
         for item in list(self.components.queue.waiting.values()):
@@ -225,17 +225,17 @@
         return actions + self.dispatch_waiting(now)
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
-        """Replaces what accounts are entitled to."""
+        """Replaces the accounts' declared shares."""
         self.components.queue.set_shares(shares)
 
     def hottest_accounts(
         self, most: int, now: float
     ) -> list[types.AccountUsage]:
-        """The accounts that use most here, for the digest to its peers."""
+        """The heaviest accounts on this node, for the digest to peers."""
         return self.components.queue.hottest_accounts(most, now)
 
     def demand(self, now: float) -> types.Demand:
-        """What callers ask of this node, for the digest to its peers."""
+        """Demand of this node's callers, for the digest to peers."""
         return self.meter.read(len(self.components.queue.waiting), now)
 
     def update_peers(
@@ -244,19 +244,19 @@
         uses: list[types.AccountUsage],
         now: float,
     ) -> None:
-        """Takes in what the other nodes say in their digests.
+        """Applies the demand and usage from the other nodes' digests.
 
         Args:
-            demands: One for each other node.
-            uses: Their hottest accounts.
-            now: The time.
+            demands: Demand of each other node.
+            uses: Usage of their heaviest accounts.
+            now: Current time.
         """
         self.components.queue.set_remote_usage(uses)
         share = demands_module.share(self.demand(now), demands)
         self.components.limits.set_node_share(share)
 
     def dispatch_waiting(self, now: float) -> list[types.Action]:
-        """Sends as much waiting work as there is room for."""
+        """Sends as many waiting requests as there is free capacity for."""
         actions: list[types.Action] = []
         while self.components.queue.waiting:
             action = self.next_action(now)
@@ -266,7 +266,7 @@
         return actions
 
     def next_action(self, now: float) -> types.Action | None:
-        """Sends or refuses the first waiting request that can be."""
+        """Sends or refuses the first waiting request for which it can."""
         long_room = self.selection.has_long_capacity(now)
         ordered = self.components.queue.ordered(now, long_room)
         for tried, turn in enumerate(ordered):
@@ -285,7 +285,7 @@
     def send(
         self, item: queues.WaitingRequest, replica: types.Replica, now: float
     ) -> types.Dispatch:
-        """Takes a request out of the queue and sends it."""
+        """Removes a request from the queue and sends it."""
         request = item.request
         self.components.queue.remove(request.id)
         self.components.queue.charge(item, now)
@@ -301,7 +301,7 @@
     def new_item(
         self, request: types.Request, now: float
     ) -> queues.WaitingRequest:
-        """The request with its estimates, as it waits."""
+        """Creates the queue item of a request, with its estimates."""
         report = self.selection.any_report(request)
         work = self.expected_seconds(request, report, now)
         return queues.WaitingRequest(
@@ -322,7 +322,7 @@
     def wait_estimate(
         self, item: queues.WaitingRequest, ahead: float, now: float
     ) -> admission.WaitEstimate:
-        """What a waiting request can expect."""
+        """Estimates how long a waiting request will wait and run."""
         return admission.WaitEstimate(
             time_left=item.request.deadline - now,
             queued_ahead=ahead,
@@ -334,9 +334,9 @@
         )
 
     def slots(self, item: queues.WaitingRequest) -> int:
-        """Own dispatches whose ends make room for this request.
+        """Own dispatches whose ends free capacity for this request.
 
-        A short one gains nothing from a long one that ends much later.
+        A short request gains nothing from a long one that ends much later.
         """
         count = 0
         for entry in self.components.loads.in_flight.values():
@@ -344,7 +344,7 @@
         return count
 
     def is_late(self, item: queues.WaitingRequest, now: float) -> bool:
-        """Whether it can no longer be in time though it were sent now."""
+        """Whether it can't be on time even if it is sent now."""
         left = item.request.deadline - now
         urgency = self.components.queue.relative_urgency(item.request.urgency)
         alone = admission.WaitEstimate(left, 0.0, item.work, 1, urgency)
@@ -353,18 +353,18 @@
     def refuse(
         self, item: queues.WaitingRequest, reason: str, wait: float
     ) -> types.Refuse:
-        """Takes a request out of the queue and gives it up."""
+        """Removes a request from the queue and refuses it."""
         self.components.queue.remove(item.request.id)
         retry_after = self.components.admission.retry_after(wait)
         return types.Refuse(item.request, reason, retry_after)
 
     def drain_seconds(self) -> float:
-        """Seconds until all that waits now will have been sent."""
+        """Seconds until all requests that wait now will have been sent."""
         work = sum(item.work for item in self.components.queue.waiting.values())
         return work / max(1, len(self.components.loads.in_flight))
 
     def is_closed(self, now: float) -> bool:
-        """Whether no replica has been open for longer than the grace."""
+        """Whether no replica has been open for `CLOSED_GRACE_SECONDS`."""
         if self.closed_since is None:
             return False
         return now - self.closed_since >= CLOSED_GRACE_SECONDS
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -1,6 +1,6 @@
-"""The waiting requests of one service on one node: the interface.
+"""Interface of the queue of waiting requests of one service on one node.
 
-`fairness` has the queue that is used and its baseline.
+`fairness` has the implementation that is used and its baseline.
 """
 
 from collections.abc import Iterator
@@ -14,12 +14,12 @@
     """A request in the queue.
 
     Attributes:
-        request: It.
-        position: Where it stands in its account and urgency; lower first.
+        request: The request.
+        position: Sort key within its account and urgency; lowest first.
         cost: Tokens it is expected to use.
         work: Seconds it is expected to take.
-        long: Whether that is much more than usual.
-        since: When it was taken in.
+        long: Whether it takes much longer than usual.
+        since: Time when it entered the queue.
     """
 
     request: types.Request
@@ -31,12 +31,12 @@
 
 
 class Turn(NamedTuple):
-    """A waiting request whose turn it is.
+    """A waiting request that is next to be tried.
 
     Attributes:
-        item: It.
-        urgency: The urgency to serve it with, against the service's most
-            urgent kind, which is 0; less than what it asks for where its
+        item: The waiting request.
+        urgency: The urgency to serve it with, relative to the service's most
+            urgent kind, which is 0. It is less urgent than requested if its
             account has used up its share.
     """
 
@@ -50,50 +50,50 @@
     waiting: dict[str, WaitingRequest]
 
     def push(self, item: WaitingRequest, now: float) -> None:
-        """Takes a request in."""
+        """Adds a request."""
 
     def remove(self, request_id: str) -> WaitingRequest | None:
-        """Takes a request out; None if it is not there."""
+        """Removes and returns a request; None if it isn't in the queue."""
 
     def ordered(self, now: float, allow_long: bool) -> Iterator[Turn]:
-        """The next requests to try, best first.
+        """Yields the next requests to try, best first.
 
         Args:
-            now: The time.
-            allow_long: Whether long requests may be sent; else they are left
-                out, and hold up nothing behind them.
+            now: Current time.
+            allow_long: Whether long requests may be sent. If not, they are
+                skipped and delay nothing behind them.
         """
 
     def charge(self, item: WaitingRequest, now: float) -> None:
-        """Charges the account of a request that is sent now."""
+        """Charges a request that is being sent to its account."""
 
     def settle(self, request: types.Request, charged: float, used: float):
-        """Corrects a charge by what was used."""
+        """Replaces a charge by the tokens used."""
 
     def queued_ahead(
         self, now: float
     ) -> Iterator[tuple[WaitingRequest, float]]:
-        """Yields each request with the seconds of work that go before it."""
+        """Yields each request with the seconds of work queued ahead of it."""
 
     def relative_urgency(self, urgency: int) -> int:
-        """The urgency against the service's most urgent kind, which is 0."""
+        """Urgency relative to the service's most urgent kind, which is 0."""
 
     def refresh(self, item: WaitingRequest) -> None:
-        """Replaces the estimates of a request that waits."""
+        """Replaces the estimates of a waiting request."""
 
     def victim(self, now: float) -> WaitingRequest | None:
-        """The request to give up first where there are too many."""
+        """The request to refuse first if too many wait."""
 
     def set_remote_usage(self, uses: list[types.AccountUsage]) -> None:
-        """Replaces what accounts use through other nodes."""
+        """Replaces the accounts' usage through other nodes."""
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
-        """Replaces what accounts are entitled to."""
+        """Replaces the accounts' declared shares."""
 
     def is_over_limit(self, name: str, now: float) -> bool:
-        """Whether an account uses more than its declared limit."""
+        """Whether an account exceeds its declared limit."""
 
     def hottest_accounts(
         self, most: int, now: float
     ) -> list[types.AccountUsage]:
-        """The accounts that use most here, for the digest to peers."""
+        """The heaviest accounts on this node, for the digest to peers."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -1,7 +1,7 @@
-"""Orders the decisions of one service: admit, wait, place, finish.
+"""Interface of the scheduler of one service on one node, and a baseline.
 
-A `Scheduler` holds the queue of one service on one node. It is told of
-requests, reports and ends, and answers with the actions to take now.
+A `Scheduler` holds the service's queue. It receives requests, load reports and
+results of dispatches, and returns the actions to take now.
 """
 
 import collections
@@ -11,37 +11,37 @@
 
 
 class Scheduler(Protocol):
-    """Whom to serve, who waits, who is refused and where work is sent."""
+    """Decides which requests to send, and where, and which to refuse."""
 
     def offer(self, request: types.Request, now: float) -> list[types.Action]:
-        """Takes a new request in and returns what to do now."""
+        """Adds a new request and returns the actions to take now."""
 
     def withdraw(self, request_id: str, now: float) -> list[types.Action]:
-        """Forgets a request that still waits: its caller has gone."""
+        """Drops a waiting request whose caller has disconnected."""
 
     def finished(
         self, request_id: str, result: types.Result, now: float
     ) -> list[types.Action]:
-        """Notes the end of a dispatch and returns what to do now."""
+        """Records the end of a dispatch and returns the actions to take."""
 
     def update(
         self, replicas: list[types.Replica], now: float
     ) -> list[types.Action]:
-        """Replaces what is known of the replicas."""
+        """Replaces the state of the replicas."""
 
     def tick(self, now: float) -> list[types.Action]:
-        """Is called several times a second; refuses what is now too late."""
+        """Refuses late requests; called several times per second."""
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
-        """Replaces what accounts are entitled to."""
+        """Replaces the accounts' declared shares."""
 
     def demand(self, now: float) -> types.Demand:
-        """What callers ask of this node, for the digest to its peers."""
+        """Demand of this node's callers, for the digest to peers."""
 
     def hottest_accounts(
         self, most: int, now: float
     ) -> list[types.AccountUsage]:
-        """The accounts that use most here, for the digest to its peers."""
+        """The heaviest accounts on this node, for the digest to peers."""
 
     def update_peers(
         self,
@@ -49,20 +49,20 @@
         uses: list[types.AccountUsage],
         now: float,
     ) -> None:
-        """Takes in what the other nodes say in their digests."""
+        """Applies the demand and usage from the other nodes' digests."""
 
 
 class RoundRobin:
-    """The plainest rule, kept as the baseline: FIFO and round robin.
+    """The baseline: FIFO and round robin.
 
-    It sends at once to the next open replica and refuses only where none is
-    open.
+    It sends each request at once to the next open replica and refuses only if
+    none is open.
 
     >>> RoundRobin().offer(request, now=0.0)
     [Refuse(...)]
     """
 
-    # Seconds; a replica that was silent is polled several times by then.
+    # A silent replica is polled several times within this time.
     RETRY_AFTER_SECONDS = 1.0
 
     def __init__(self):
@@ -88,13 +88,13 @@
         return [types.Dispatch(request, chosen.name)]
 
     def withdraw(self, request_id: str, now: float) -> list[types.Action]:
-        """Nothing waits here."""
+        """Does nothing: no request waits here."""
         return []
 
     def finished(
         self, request_id: str, result: types.Result, now: float
     ) -> list[types.Action]:
-        """Nothing is learnt from an end."""
+        """Does nothing: results are not used."""
         return []
 
     def update(
@@ -105,20 +105,20 @@
         return []
 
     def tick(self, now: float) -> list[types.Action]:
-        """Nothing waits here."""
+        """Does nothing: no request waits here."""
         return []
 
     def set_shares(self, shares: dict[str, types.Share]) -> None:
-        """All accounts are alike."""
+        """Does nothing: all accounts are treated alike."""
 
     def demand(self, now: float) -> types.Demand:
-        """Nothing is measured."""
+        """Returns nothing: no demand is measured."""
         return types.Demand(0.0, 0.0, 0)
 
     def hottest_accounts(
         self, most: int, now: float
     ) -> list[types.AccountUsage]:
-        """Nothing is measured."""
+        """Returns nothing: no demand is measured."""
         return []
 
     def update_peers(
@@ -127,4 +127,4 @@
         uses: list[types.AccountUsage],
         now: float,
     ) -> None:
-        """The other nodes make no difference."""
+        """Does nothing: other nodes are not considered."""
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -1,4 +1,4 @@
-"""Which replicas may take a request now, of those that are declared."""
+"""Selects the replicas that may take a request now."""
 
 import math
 from typing import NamedTuple
@@ -13,16 +13,15 @@
 from gypsumfold.decisions import recovery
 from gypsumfold.decisions import types
 
-# Times the geometric mean length, which a few long ones move little, above
-# which a request is long.
+# A request is long above this multiple of the geometric mean length, which a
+# few long requests change little.
 LONG_FACTOR = 4.0
-# Seconds within which a short request must have come for long ones to be
-# held back.
+# Long requests are held back for this time after the last short one.
 SHORT_SEEN_SECONDS = 5.0
 
 
 class Components(NamedTuple):
-    """The decisions that a scheduler is composed of."""
+    """The decision components of a scheduler."""
 
     queue: queues.Queue
     admission: admission.Admission
@@ -35,11 +34,11 @@
 
 
 class RequestLengths:
-    """Tells the long requests of a service from the short ones.
+    """Classifies the requests of a service as long or short.
 
-    >>> lengths = Lengths()
+    >>> lengths = RequestLengths()
     >>> lengths.add(1.0)
-    >>> lengths.long(10.0)
+    >>> lengths.is_long(10.0)
     True
     """
 
@@ -48,7 +47,7 @@
         self.last_short = -math.inf
 
     def add(self, work: float) -> None:
-        """Learns from a request that takes so many seconds."""
+        """Updates the mean with a request that takes this many seconds."""
         if work <= 0:
             return
         length = math.log(work)
@@ -57,20 +56,20 @@
         self.log_mean = estimates.smooth(self.log_mean, length)
 
     def is_long(self, work: float) -> bool:
-        """Whether this is much longer than the mean."""
+        """Whether a request is much longer than the mean."""
         if self.log_mean is None or work <= 0:
             return False
         return math.log(work) > self.log_mean + math.log(LONG_FACTOR)
 
     def has_recent_short(self, now: float) -> bool:
-        """Whether short requests come at the moment."""
+        """Whether a short request arrived recently."""
         return now - self.last_short < SHORT_SEEN_SECONDS
 
 
 class Selection:
-    """The replicas of a service, and which of them have room.
+    """The replicas of a service, and which of them have free capacity.
 
-    >>> Selection(parts).candidates(turn, now=0.0)
+    >>> Selection(components).candidates(turn, now=0.0)
     []
     """
 
@@ -82,7 +81,7 @@
     def candidates(
         self, turn: queues.Turn, now: float
     ) -> list[placement.Candidate]:
-        """The replicas that serve the request, with room for it or not."""
+        """Replicas that can serve the request, with or without capacity."""
         request = turn.item.request
         long = turn.item.long and self.is_long_held_back(now)
         found = []
@@ -103,10 +102,10 @@
         return found
 
     def is_long_held_back(self, now: float) -> bool:
-        """Whether long requests must leave room for short ones.
+        """Whether long requests must leave capacity for short ones.
 
-        A node may always have one of them running, however busy the short
-        ones keep the replicas.
+        A node may always run one long request, however busy short ones keep
+        the replicas.
         """
         if not self.lengths.has_recent_short(now):
             return False
@@ -117,7 +116,7 @@
         )
 
     def has_long_capacity(self, now: float) -> bool:
-        """Whether any replica has room for a long request."""
+        """Whether any replica has capacity for a long request."""
         if not self.is_long_held_back(now):
             return True
         for replica in self.replicas.values():
@@ -129,9 +128,10 @@
         return False
 
     def matching(self, request: types.Request) -> list[types.Replica]:
-        """The open replicas that serve the request's model and decode.
+        """The open replicas that serve the request's model.
 
-        Those that failed it before are left out while there are others.
+        Prefill engines are returned only if there are no others, and so are
+        replicas on which the request failed before.
         """
         found = []
         prefill_only = []
@@ -151,10 +151,10 @@
     def choose_prefill(
         self, request: types.Request, chosen: types.Replica, now: float
     ) -> str:
-        """The engine that processes the prompt for the chosen one, if any.
+        """Chooses the engine that prefills for the chosen one; empty for none.
 
-        For a decode engine the prefill engine with the least to do; for a
-        mixed one only if that has less to do than the chosen one itself.
+        For a decode engine this is the prefill engine with the shortest prompt
+        backlog; for a mixed one, only if that is shorter than its own.
         """
         least = math.inf
         if chosen.role == types.Role.MIXED:
@@ -173,7 +173,7 @@
         return best
 
     def prefill_backlog(self, replica: types.Replica, now: float) -> float:
-        """Seconds of prompts that wait at an engine; infinite if unknown."""
+        """Seconds of prompts waiting at an engine; infinite if unknown."""
         if replica.report is None:
             return math.inf
         load = self.components.loads.view(replica, now)
@@ -182,14 +182,14 @@
         return load.prefill_tokens / max(1.0, replica.report.prefill_rate)
 
     def any_report(self, request: types.Request) -> types.Report | None:
-        """Any report of a replica that could serve the request."""
+        """Report of some replica that can serve the request, if any."""
         for replica in self.matching(request):
             if replica.report is not None:
                 return replica.report
         return None
 
     def report_overdue(self, now: float) -> None:
-        """Tells the outlier rule how late the work of each replica is."""
+        """Reports to outlier detection how overdue each replica's work is."""
         ratios: dict[str, list[float]] = {name: [] for name in self.replicas}
         for entry in self.components.loads.in_flight.values():
             if entry.expected > 0 and entry.replica in ratios:
@@ -201,7 +201,7 @@
 
 
 def scaled_load(load: loads.Load, weight: float) -> loads.Load:
-    """The load as it weighs on a replica that is slower than its peers."""
+    """Load relative to the capacity of a replica slower than its peers."""
     return load._replace(
         occupied=int(load.occupied / weight), own=int(load.own / weight)
     )
