--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -94,6 +94,6 @@
         """Whether an account exceeds its declared limit."""
 
     def hottest_accounts(
-        self, most: int, now: float
+        self, max_accounts: int, now: float
     ) -> list[types.AccountUsage]:
         """The heaviest accounts on this node, for the digest to peers."""
