--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -304,7 +304,7 @@
         return account.rate(now) + account.remote_rate > limit
 
     def hottest_accounts(
-        self, most: int, now: float
+        self, max_accounts: int, now: float
     ) -> list[types.AccountUsage]:
         """The heaviest accounts on this node, for the digest to peers."""
         uses = []
@@ -313,7 +313,7 @@
             if rate >= IDLE_TOKENS_PER_SECOND:
                 uses.append(types.AccountUsage(account.name, rate))
         uses.sort(key=lambda use: -use.tokens_per_second)
-        return uses[:most]
+        return uses[:max_accounts]
 
 
 class FIFOQueue(FairQueue):
