--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -39,7 +39,7 @@
         """Demand of this node's callers, for the digest to peers."""
 
     def hottest_accounts(
-        self, most: int, now: float
+        self, max_accounts: int, now: float
     ) -> list[types.AccountUsage]:
         """The heaviest accounts on this node, for the digest to peers."""
 
