--- a/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/scheduler.py
@@ -116,7 +116,7 @@
         return types.Demand(0.0, 0.0, 0)
 
     def hottest_accounts(
-        self, most: int, now: float
+        self, max_accounts: int, now: float
     ) -> list[types.AccountUsage]:
         """Returns nothing: no demand is measured."""
         return []
