--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -229,10 +229,10 @@
         self.components.queue.set_shares(shares)
 
     def hottest_accounts(
-        self, most: int, now: float
+        self, max_accounts: int, now: float
     ) -> list[types.AccountUsage]:
         """The heaviest accounts on this node, for the digest to peers."""
-        return self.components.queue.hottest_accounts(most, now)
+        return self.components.queue.hottest_accounts(max_accounts, now)
 
     def demand(self, now: float) -> types.Demand:
         """Demand of this node's callers, for the digest to peers."""
