--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -206,10 +206,10 @@
             return urgency
         return ordinary
 
-    def least_urgent_other(self, but: Account) -> int:
+    def least_urgent_other(self, excluded: Account) -> int:
         """Urgency of the least urgent request next in another account."""
         for urgency, name in reversed(self.least_urgent_next):
-            if name != but.name:
+            if name != excluded.name:
                 return urgency
         return 0
 
