--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -267,8 +267,8 @@
 
     def next_action(self, now: float) -> types.Action | None:
         """Sends or refuses the first waiting request for which it can."""
-        long_room = self.selection.has_long_capacity(now)
-        ordered = self.components.queue.ordered(now, long_room)
+        allow_long = self.selection.has_long_capacity(now)
+        ordered = self.components.queue.ordered(now, allow_long)
         for tried, turn in enumerate(ordered):
             if tried >= MAX_TRIED:
                 break
