--- a/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/fairness.py
@@ -214,7 +214,7 @@
         return 0
 
     def charge(self, item: queues.WaitingRequest, now: float) -> None:
-        """Charges a request that is being sent to its account."""
+        """Charges an account for a request that is being sent."""
         request = item.request
         account = self.account(request.account)
         self.virtual_time = max(self.virtual_time, account.tag)
@@ -226,7 +226,7 @@
             account.used_urgent += cost
 
     def settle(self, request: types.Request, charged: float, used: float):
-        """Replaces a charge by the tokens used."""
+        """Corrects a charge to the tokens used."""
         account = self.accounts.get(request.account)
         if account is None:
             return
--- a/packages/gypsumfold/src/gypsumfold/decisions/limits.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/limits.py
@@ -120,8 +120,8 @@
         """Requests of the most urgent kind that it may hold at once."""
         report = replica.report
         if report is None or report.batch <= 0:
-            learnt = self.plain_limits.get(replica.name)
-            return int(learnt.limit if learnt else INITIAL_LIMIT)
+            learned = self.plain_limits.get(replica.name)
+            return int(learned.limit if learned else INITIAL_LIMIT)
         if not load.fresh:
             return UNKNOWN_LIMIT
         if report.kv_used >= KV_FULL_FRACTION:
--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -30,7 +30,7 @@
 # Interval between two reviews of all waiting requests; reports arrive as often.
 REVIEW_INTERVAL_SECONDS = 0.25
 # Refusal reasons sent to callers.
-OVER_LIMIT = "the account uses more tokens a second than it may"
+OVER_LIMIT = "the account exceeds its limit of tokens per second"
 TOO_LATE = "the answer would come after its deadline"
 TOO_MANY = "too many requests wait"
 ALL_CLOSED = "no replica is open for this request"
@@ -40,7 +40,7 @@
     """What the decisions of one service on one node depend on.
 
     Attributes:
-        data_centre: Where this node stands.
+        data_centre: Data centre of this node.
         max_waiting: Maximum number of waiting requests. Each holds a caller's
             connection of about 50 KB; 512 take 25 MB.
     """
--- a/packages/gypsumfold/src/gypsumfold/decisions/queues.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/queues.py
@@ -65,10 +65,10 @@
         """
 
     def charge(self, item: WaitingRequest, now: float) -> None:
-        """Charges a request that is being sent to its account."""
+        """Charges an account for a request that is being sent."""
 
     def settle(self, request: types.Request, charged: float, used: float):
-        """Replaces a charge by the tokens used."""
+        """Corrects a charge to the tokens used."""
 
     def queued_ahead(
         self, now: float
--- a/packages/gypsumfold/src/gypsumfold/decisions/selection.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/selection.py
@@ -92,12 +92,14 @@
                 replica.name, load.own, now
             ):
                 continue
-            room = self.components.limits.has_capacity(
+            has_capacity = self.components.limits.has_capacity(
                 replica, scaled_load(load, weight), turn.urgency, long
             )
             capacity = self.components.limits.capacity(replica, load)
             found.append(
-                placement.Candidate(replica, load, capacity, weight, room)
+                placement.Candidate(
+                    replica, load, capacity, weight, has_capacity
+                )
             )
         return found
 
