--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -27,7 +27,7 @@
 # small late ones.
 LEVELS_PER_URGENCY = 2
 # Lowest urgency that engines accept.
-MAX_URGENCY = 9
+MAX_ENGINE_URGENCY = 9
 # A late request takes this times its expected seconds, since later arrivals
 # that can still be on time overtake it: engines that spend a third of their
 # time on those take half as long again.
@@ -88,7 +88,7 @@
         )
     hopeless = remaining > TIMEOUT_FRACTION * abandon_timeout
     if deferred:
-        level = min(MAX_URGENCY, DEFERRED_URGENCY + urgency)
+        level = min(MAX_ENGINE_URGENCY, DEFERRED_URGENCY + urgency)
     else:
         level = min(
             DEFERRED_URGENCY - 1, LEVELS_PER_URGENCY * urgency + int(late)
