--- a/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/lateness.py
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 # Time from the end of prefill to the caller's first event: KV cache transfer
-# and the first decode step (median of 45 ms without load).
+# and the first decode step (45 ms is the median under light load).
 FIRST_EVENT_SECONDS = 0.06
 # Urgency of the most urgent deferred request: behind all requests that are on
 # time and those without a declared urgency (5).
--- a/packages/gypsumfold/src/gypsumfold/decisions/placement.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/placement.py
@@ -70,7 +70,7 @@
 
 
 class TwoChoices:
-    """Prefix affinity with bounded load, else the better of two at random.
+    """Prefix affinity with bounded load, else the better of two random choices.
 
     >>> rng = random.Random(1)
     >>> TwoChoices("north-apron", rng).choose(request, found, waited=0.0)
