--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/__init__.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Gateway to gateway: who takes part, and what they tell each other."""
+"""Membership and messages among gateways."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_updates.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_updates.py
@@ -1,4 +1,4 @@
-"""Sends other nodes what is known of requests that may crash replicas."""
+"""Sends other nodes updates on requests that may crash replicas."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import sending
 
-# Entries of one datagram, and bytes that one takes at the most.
+# Entries in one datagram, and the largest size of an entry.
 MAX_ENTRIES_PER_DATAGRAM = 14
 MAX_ENTRY_BYTES = 45
-# Datagrams that are sent at once.
+# Datagrams sent at once.
 MAX_DATAGRAMS_PER_SEND = 16
-# Seconds between two sends at the least; between two sends of the same entry,
-# which may be lost; and between two looks where nothing is new.
+# Minimum seconds between two sends; seconds until entries are sent again,
+# since datagrams may be lost; and seconds between checks while nothing is new.
 MIN_SEND_INTERVAL_SECONDS = 0.01
 RESEND_SECONDS = 0.1
 IDLE_CHECK_SECONDS = 0.5
@@ -29,8 +29,8 @@
 
     Attributes:
         interrupted: Requests that crashes interrupted.
-        canaries: Suspects that run or wait.
-        more: Whether there is more to send now.
+        canaries: Suspect requests that run or wait.
+        more: Whether more entries are waiting to be sent.
     """
 
     interrupted: list[messages.Interrupted] = []
@@ -39,17 +39,19 @@
 
 
 class UpdateSource(Protocol):
-    """What is known, to be sent in parts."""
+    """Provides updates to send, a few at a time."""
 
     def updates(self, limit: int) -> UpdateBatch:
-        """What other nodes are sent next, that many entries at most."""
+        """Returns the updates to send next, at most `limit` entries."""
 
 
 class CrashUpdates:
-    """Sends updates as they come, within a share of the link.
+    """Sends updates as they come, within a share of the link's bandwidth.
 
-    >>> crash_news = CrashNews(sender, source, bandwidth, lambda: members)
-    >>> await crash_news.run()
+    >>> crash_updates = CrashUpdates(
+    ...     sender, source, bandwidth, lambda: members
+    ... )
+    >>> await crash_updates.run()
     """
 
     def __init__(
@@ -66,7 +68,7 @@
         self.due = asyncio.Event()
 
     async def run(self) -> None:
-        """Sends for as long as the node runs."""
+        """Sends updates for as long as the node runs."""
         pause = IDLE_CHECK_SECONDS
         while True:
             with contextlib.suppress(TimeoutError):
@@ -81,7 +83,11 @@
             await asyncio.sleep(MIN_SEND_INTERVAL_SECONDS)
 
     def send(self, now: float) -> bool:
-        """Sends what the link bears now; whether there is more to send."""
+        """Sends what the bandwidth allows now.
+
+        Returns:
+            Whether there is more to send.
+        """
         receivers = self.receivers()
         if not receivers:
             return False
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -1,4 +1,4 @@
-"""Datagrams from messages: encoded, sealed, and small enough."""
+"""Encodes messages as sealed datagrams that fit into one packet."""
 
 import msgspec
 
@@ -12,24 +12,25 @@
     message: messages.Report | messages.Summary | messages.CrashUpdate,
     sealer: seals.Sealer,
 ) -> bytes:
-    """Makes one datagram of a message."""
+    """Encodes a message as one datagram."""
     return sealer.seal(ENCODER.encode(message))
 
 
 def fits_datagram(
     message: messages.Report | messages.Summary, sealer: seals.Sealer
 ) -> bool:
-    """Whether a message goes into one datagram."""
+    """Whether a message fits into one datagram."""
     size = len(ENCODER.encode(message)) + sealer.overhead
     return size <= messages.MAX_DATAGRAM_BYTES
 
 
 def encode_report(report: messages.Report, sealer: seals.Sealer) -> bytes:
-    """Makes one datagram of a report; it names only the newest prompts.
+    """Encodes a report as one datagram, leaving out what does not fit.
 
-    What a node has at engines replaces what it said before, so that a report
-    is not cut in two. Many registrations that changed at once are left out as
-    well: who cannot read them asks for them, by their digest.
+    A report replaces the sender's previous one, so it cannot be split. Changed
+    registrations are left out first: a receiver that cannot read them in the
+    store sees that the digest differs and asks for them. Then the oldest
+    prompts are left out.
     """
     if report.knowledge is not None and not fits_datagram(report, sealer):
         knowledge = msgspec.structs.replace(report.knowledge, changed=[])
@@ -46,9 +47,9 @@
 def split_summary(
     summary: messages.Summary, sealer: seals.Sealer
 ) -> list[messages.Summary]:
-    """Cuts a summary into as many as it takes to fit into datagrams.
+    """Splits a summary into parts that each fit into a datagram.
 
-    Each part stands for itself. The last one has all that is told only once.
+    Each part is a valid summary. What is sent only once is in the last one.
     """
     waiting = [summary]
     found = []
@@ -63,7 +64,7 @@
 
 
 def split_in_half(summary: messages.Summary) -> list[messages.Summary]:
-    """Cuts a summary in two; gives nothing where there is little to cut."""
+    """Splits a summary in two; returns [] if a half would be no smaller."""
     load_delta = split_load_delta(summary.load_delta)
     updates = split_updates(summary.updates)
     knowledge = split_knowledge(summary.knowledge)
@@ -92,7 +93,7 @@
 def split_updates(
     updates: messages.Updates,
 ) -> tuple[messages.Updates, messages.Updates]:
-    """Cuts updates in two; each part names the starts that it speaks of."""
+    """Splits updates in two, each with the start times of its engines."""
     halves = []
     placed = split_list(updates.placements)
     unreachable = split_list(updates.unreachable)
@@ -116,13 +117,13 @@
 
 
 def split_list(items: list) -> tuple[list, list]:
-    """Cuts a list in two."""
+    """Splits a list in two."""
     middle = len(items) // 2
     return items[:middle], items[middle:]
 
 
 def split_dict(items: dict) -> tuple[dict, dict]:
-    """Cuts a map in two."""
+    """Splits a dictionary in two."""
     first, second = split_list(list(items.items()))
     return dict(first), dict(second)
 
@@ -130,7 +131,7 @@
 def split_load_delta(
     load_delta: messages.LoadDelta,
 ) -> tuple[messages.LoadDelta, messages.LoadDelta]:
-    """Cuts sums in two."""
+    """Splits a load delta in two."""
     first = []
     second = []
     for amounts in (
@@ -148,7 +149,7 @@
 def split_knowledge(
     knowledge: messages.Knowledge | None,
 ) -> tuple[messages.Knowledge | None, messages.Knowledge | None]:
-    """Cuts what is told of the store in two; both ends have the proof."""
+    """Splits store knowledge in two; both keep the offsets and the digest."""
     if knowledge is None or not knowledge.changed:
         return None, knowledge
     middle = (len(knowledge.changed) + 1) // 2
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -1,4 +1,4 @@
-"""The work at engines that a node knows of: its own, and what others tell."""
+"""The work at engines that a node knows of: its own and that of others."""
 
 from typing import NamedTuple
 
@@ -8,12 +8,12 @@
 from gypsumfold.gateway import directory as directory_module
 from gypsumfold.gateway.peers import messages
 
-# Seconds after which what a silent node said no longer counts.
+# Seconds after which the loads reported by a silent node no longer count.
 EXPIRY_SECONDS = 3.0
 
 
 class LoadDeltaEncoder(NamedTuple):
-    """What is to be told of each sort of work."""
+    """Delta encoders, one for each kind of work."""
 
     prompts: load_deltas.DeltaEncoder
     streams: load_deltas.DeltaEncoder
@@ -21,7 +21,7 @@
     demand: load_deltas.DeltaEncoder
 
     def encode(self, loads: messages.EngineLoads) -> messages.LoadDelta:
-        """What is new since the last time, and a part of the rest."""
+        """Encodes what changed since the last call, and a part of the rest."""
         return messages.LoadDelta(
             self.prompts.encode(loads.prompts),
             self.streams.encode(loads.streams),
@@ -31,7 +31,7 @@
 
 
 class LoadDeltaDecoder(NamedTuple):
-    """What one teller has told of each sort of work."""
+    """Delta decoders for one sender, one for each kind of work."""
 
     prompts: load_deltas.DeltaDecoder
     streams: load_deltas.DeltaDecoder
@@ -39,14 +39,14 @@
     demand: load_deltas.DeltaDecoder
 
     def receive(self, changed: messages.LoadDelta, now: float) -> None:
-        """Takes in what the teller told."""
+        """Applies a delta received from the sender."""
         self.prompts.receive(changed.prompts, now)
         self.streams.receive(changed.streams, now)
         self.late.receive(changed.late, now)
         self.demand.receive(changed.demand, now)
 
     def loads(self, now: float) -> messages.EngineLoads:
-        """The amounts that still count."""
+        """Returns the loads that have not expired."""
         return messages.EngineLoads(
             self.prompts.amounts(now),
             self.streams.amounts(now),
@@ -56,7 +56,7 @@
 
 
 def new_encoder() -> LoadDeltaEncoder:
-    """Makes one that has told nothing."""
+    """Creates an encoder that has sent nothing yet."""
     return LoadDeltaEncoder(
         load_deltas.DeltaEncoder(),
         load_deltas.DeltaEncoder(),
@@ -66,7 +66,7 @@
 
 
 def new_decoder() -> LoadDeltaDecoder:
-    """Makes one that has heard nothing."""
+    """Creates a decoder that has received nothing yet."""
     return LoadDeltaDecoder(
         load_deltas.DeltaDecoder(),
         load_deltas.DeltaDecoder(),
@@ -76,11 +76,11 @@
 
 
 class Loads:
-    """This node's work at engines and what it is told of the others'.
+    """This node's work at engines and the work that others report.
 
     >>> loads = Loads(homes, directory)
     >>> loads.own(now=0.0)
-    Amounts(...)
+    EngineLoads(...)
     """
 
     def __init__(
@@ -92,7 +92,7 @@
         self.directory = directory
 
     def totals_by_kind(self) -> tuple[cluster_totals.ClusterTotals, ...]:
-        """The sums of each sort of work, in the order of `Amounts`."""
+        """The totals of each kind of work, in the order of `EngineLoads`."""
         return (
             self.homes.waiting,
             self.directory.streams,
@@ -101,7 +101,7 @@
         )
 
     def own(self, now: float) -> messages.EngineLoads:
-        """What this node itself has."""
+        """Returns the work of this node alone."""
         return messages.EngineLoads(
             rounded(self.homes.waiting.own),
             rounded(self.directory.streams.own),
@@ -110,7 +110,7 @@
         )
 
     def site_totals(self, now: float) -> messages.EngineLoads:
-        """What all nodes have."""
+        """Returns the work of all nodes of the site."""
         demand = self.homes.demand.node_totals.totals(now)
         for service, engines in self.homes.demand.own(now).items():
             demand[service] = demand.get(service, 0.0) + engines
@@ -124,25 +124,25 @@
     def set_remote(
         self, source: str, loads: messages.EngineLoads, until: float
     ) -> None:
-        """Replaces what a source said, until it no longer counts."""
+        """Replaces the loads reported by a source, valid until a time."""
         self.homes.waiting.set_remote(source, loads.prompts, until)
         self.directory.streams.set_remote(source, loads.streams, until)
         self.homes.late.set_remote(source, loads.late, until)
         self.homes.demand.set_remote(source, loads.demand, until)
 
     def drop(self, source: str) -> None:
-        """Drops what a source said."""
+        """Drops the loads reported by a source."""
         for known in self.totals_by_kind():
             known.drop_node(source)
 
     def clear_remote(self) -> None:
-        """Drops what all others said."""
+        """Drops the loads reported by all other nodes."""
         for known in self.totals_by_kind():
             known.clear_others()
 
 
 def total(parts: list[messages.EngineLoads]) -> messages.EngineLoads:
-    """Adds up the work of some nodes."""
+    """Adds up the loads of some nodes."""
     found = messages.EngineLoads({}, {}, {}, {})
     for part in parts:
         add_to(found.prompts, part.prompts)
@@ -161,7 +161,7 @@
 def subtract(
     loads: messages.EngineLoads, own: messages.EngineLoads
 ) -> messages.EngineLoads:
-    """What is left of sums without a node's own part of them."""
+    """Subtracts a node's own loads from totals."""
     return messages.EngineLoads(
         load_deltas.subtract(loads.prompts, own.prompts),
         load_deltas.subtract(loads.streams, own.streams),
@@ -171,5 +171,5 @@
 
 
 def rounded(amounts: dict[str, float]) -> dict[str, float]:
-    """Shortens amounts for the wire."""
+    """Rounds amounts so that they take fewer bytes on the wire."""
     return {engine: round(amount, 4) for engine, amount in amounts.items()}
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -1,7 +1,8 @@
-"""What gateways say to each other, and how it is read.
+"""Messages between gateways and their decoding.
 
-Anybody who reaches a node's port may write to it, so that every message is
-decoded or refused as a whole.
+Anybody who reaches a node's port may write to it, so a message that does not
+match its type is refused entirely. Structs with `array_like=True` are encoded
+by position.
 """
 
 import ipaddress
@@ -11,26 +12,27 @@
 
 from gypsumfold import exceptions
 
-# Bytes of a datagram: what fits into one packet.
+# Maximum bytes of a datagram, so that it fits into one packet.
 MAX_DATAGRAM_BYTES = 1400
-# An amount that a peer may say; one that is no number would stay in all sums.
+# An amount that a peer may send; NaN would stay in all totals.
 Amount = Annotated[float, msgspec.Meta(ge=0.0, le=1e6)]
-# The same in thousandths, as sums of many nodes are told: a third of the
+# The same in thousandths, for the totals of many nodes: it takes a third of the
 # bytes of a float.
 Thousandths = Annotated[int, msgspec.Meta(ge=0, le=10**9)]
-# A VM's power in cores; at least some, since ranks divide by it.
+# A VM's processing power in cores. Ranking is weighted by it, so it can't be
+# negative.
 Power = Annotated[float, msgspec.Meta(ge=0.0, le=1e4)]
 # An offset of the store's log or a count.
 Count = Annotated[int, msgspec.Meta(ge=0, le=2**62)]
 
 
 class Placement(msgspec.Struct, array_like=True):
-    """A prompt that was sent to an engine.
+    """A prompt sent to an engine.
 
     Attributes:
-        engine: Its instance.
-        links: Hashes of the prompt up to each part.
-        tokens: Length of each part.
+        engine: The engine's instance.
+        prefix_hashes: Hash of the prompt up to the end of each block.
+        tokens: Tokens in each block.
     """
 
     engine: str
@@ -39,14 +41,14 @@
 
 
 class Contact(msgspec.Struct, array_like=True):
-    """A node as others may reach and rank it.
+    """What other nodes need to reach and rank a node.
 
     Attributes:
-        member: Names this start of the node.
+        member: Identifies this incarnation of the node.
         node: The VM's name.
-        data_centre: Where it stands.
-        address: IP:PORT of its datagrams; empty for the sender's own.
-        power: Of its processor, in cores.
+        data_centre: The VM's data centre.
+        address: IP:PORT for datagrams; empty for the sender itself.
+        power: Processing power in cores.
     """
 
     member: str
@@ -57,16 +59,14 @@
 
 
 class EngineLoads(msgspec.Struct, array_like=True):
-    """Work at engines, of one node.
+    """One node's work at engines.
 
     Attributes:
-        prompts: Seconds of prompts by engine and urgency that are still to be
-            read.
-        streams: Running streams by engine, as shares of it.
-        late: Seconds of late prompts that are still to be read, by engine and
+        prompts: Seconds of prefill still to do, by engine and urgency.
+        streams: Running streams by engine, as fractions of its capacity.
+        late: Seconds of prefill still to do for late prompts, by engine and
             urgency.
-        demand: Engines that the prompts which come would keep busy, by
-            service.
+        demand: Number of engines that arriving prompts keep busy, by service.
     """
 
     prompts: dict[str, Amount] = {}
@@ -76,10 +76,11 @@
 
 
 class LoadDelta(msgspec.Struct, array_like=True):
-    """Work at engines, of many nodes; as `Amounts`, in thousandths.
+    """Changes in many nodes' work at engines.
 
-    Only what changed since the last message, and by turns the rest; zero
-    where nothing is left.
+    The fields are those of `EngineLoads`, in thousandths. They hold what
+    changed since the last message and, by turns, the rest; zero where nothing
+    is left.
     """
 
     prompts: dict[str, Thousandths] = {}
@@ -89,17 +90,17 @@
 
 
 class Updates(msgspec.Struct, array_like=True):
-    """What happened.
+    """Events at engines and replicas.
 
     Attributes:
-        placed: Prompts that were sent to engines.
-        closed: Engines that were ordered to change their role, and for how
-            many seconds from now they get no work.
-        roles: New roles that engines have, and for how many seconds that is
-            to be believed.
+        placements: Prompts sent to engines.
+        closed: Engines ordered to change their role, with the number of
+            seconds from now for which they get no work.
+        roles: New roles of engines, with the number of seconds for which they
+            are valid.
         unreachable: Replicas to which no connection could be opened.
-        births: Starts of the engines of which something is said; a later
-            start makes it void.
+        start_times: Start times of the engines in `closed` and `roles`; what is
+            reported about an engine is void once it has started again.
     """
 
     placements: list[Placement] = []
@@ -110,7 +111,7 @@
 
 
 class ChangedRegistration(msgspec.Struct, array_like=True):
-    """A registration that changed; an empty value where it is gone."""
+    """A registration that changed; the value is empty if it was removed."""
 
     key: str
     offset: Count
@@ -118,17 +119,17 @@
 
 
 class Knowledge(msgspec.Struct, array_like=True):
-    """What the sender knows from the store, and how old that is.
+    """What the sender has read in the store, and how old that is.
 
     Attributes:
         end: Offset up to which it has read the registrations.
-        age: Seconds since it asked the store for them.
-        digest: Of all of them.
-        changed: Those that changed in the last moments.
-        grace: Seconds for which one that went is still to be believed.
-        version: Of its configuration; 0 for none.
+        age: Seconds since it requested them from the store.
+        digest: Digest of all registrations.
+        changed: Registrations that changed recently.
+        grace: Seconds for which a removed registration remains valid.
+        version: Version of its configuration; 0 for none.
         version_end: Offset up to which it has read the configuration.
-        version_age: Seconds since it asked the store for that.
+        version_age: Seconds since it requested that from the store.
     """
 
     end: Count
@@ -150,10 +151,10 @@
 
     Attributes:
         instance: The replica.
-        started: Unix milliseconds of its start; 0 if it does not say.
+        started: The replica's start in Unix milliseconds; 0 if unknown.
         fingerprint: The request.
-        output: Whether its caller had got output.
-        cleared: Whether it has run to its end since.
+        output: Whether its caller had received output.
+        cleared: Whether the request has since run to completion.
     """
 
     instance: str
@@ -171,7 +172,7 @@
         owner: The node that runs it.
         number: Increases with each canary of its owner.
         instance: The replica.
-        seconds: For how long that is taken for true; 0 where it has ended.
+        valid_seconds: For how long this is valid; 0 if the canary has ended.
     """
 
     fingerprint: Fingerprint
@@ -182,16 +183,17 @@
 
 
 class Report(msgspec.Struct, array_like=True, tag=1):
-    """What one node has at the engines, to its relay or to every node.
+    """One node's work at engines, sent to its relay or to every node.
 
     Attributes:
-        sender: Who sends it.
-        number: Increases with each one.
-        wants: What it asks its receiver for, of `WANTS_NOTHING` and on.
-        amounts: Its own work at engines.
-        updates: What it did since the last one.
-        knowledge: What it has read in the store, where each node tells every
-            other: once a second and where that changes.
+        sender: The sending node.
+        sequence: Increases with each message of the sender.
+        subscription_level: What the sender asks its receiver to send, one of
+            the `SUBSCRIBE_` constants.
+        loads: The sender's own work at engines.
+        updates: Events at the sender since its last report.
+        knowledge: What the sender has read in the store. Sent in a mesh only,
+            once a second and when it changes.
     """
 
     sender: Contact
@@ -203,19 +205,21 @@
 
 
 class Summary(msgspec.Struct, array_like=True, tag=2):
-    """What a relay tells the nodes that report to it, or other relays.
+    """What a relay sends to the nodes that report to it, or to other relays.
 
     Attributes:
-        sender: Who sends it.
-        number: Increases with each one.
-        nodes: How many nodes the sums are of.
-        between: Whether it goes to relays of other data centres, with the
-            sums of the sender's own; else with those of the whole site.
-        sums: Work at engines that changed.
-        updates: What happened there since the last one.
-        knowledge: What the sender knows from the store.
-        members: Nodes that rank high in its data centre.
-        apart: Whether the rest of the site may count without these nodes.
+        sender: The sending node.
+        sequence: Increases with each message of the sender.
+        node_count: Number of nodes in the load totals.
+        to_relays: Whether it goes to relays of other data centres, with the
+            totals of the sender's data centre; otherwise with those of the
+            whole site.
+        load_delta: Changes in the work at engines.
+        updates: Events at those nodes since the last summary.
+        knowledge: What the sender has read in the store.
+        members: Highest ranked nodes of the sender's data centre.
+        partitioned: Whether the rest of the site may count without these
+            nodes.
     """
 
     sender: Contact
@@ -233,8 +237,8 @@
     """What one node knows of requests that may crash replicas.
 
     Attributes:
-        sender: Who sends it.
-        number: Increases with each message of the sender.
+        sender: The sending node.
+        sequence: Increases with each message of the sender.
         interrupted: Requests that crashes interrupted.
         canaries: Requests that run as the only suspect on their replica.
     """
@@ -245,8 +249,9 @@
     canaries: list[Canary] = []
 
 
-# What a report asks for: nothing (its sender tells everybody), nothing but to
-# be known, a sign of life once a second, or all that there is.
+# What a report asks its receiver for: nothing, since its sender reports to
+# every node; only to note the sender; a heartbeat once a second; or all
+# summaries.
 SUBSCRIBE_NONE = 0
 SUBSCRIBE_PRESENCE = 1
 SUBSCRIBE_HEARTBEATS = 2
@@ -257,12 +262,12 @@
     """A node's record in the store, under its VM's name.
 
     Attributes:
-        address: IP:PORT of its datagrams.
-        member: Names this start of the node.
-        data_centre: Where the VM stands.
-        power: Of its processor, in cores.
-        suspected: Whether another node, which does not hear it, has marked
-            it; it is removed unless it is renewed.
+        address: IP:PORT for datagrams.
+        member: Identifies this incarnation of the node.
+        data_centre: The VM's data centre.
+        power: Processing power in cores.
+        suspected: Whether a node that receives nothing from this one has
+            marked the entry; it is removed unless it is renewed.
     """
 
     address: str
@@ -273,7 +278,7 @@
 
 
 DECODER = msgspec.msgpack.Decoder(Report | Summary | CrashUpdate)
-# What decoding raises for bytes that hold no message, or too deep a one.
+# Raised by decoding for invalid bytes and for messages nested too deeply.
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 
 
@@ -281,7 +286,7 @@
     """Decodes a peer's message.
 
     Raises:
-        exceptions.RecordInvalid: It holds no message.
+        exceptions.RecordInvalid: It is not a valid message.
     """
     try:
         return DECODER.decode(data)
@@ -292,10 +297,12 @@
 def decode_entry(value: bytes) -> Entry:
     """Decodes a node's record in the store.
 
-    Sending to anything that is no address fails for all peers after it.
+    The address is checked, since sending to an invalid one would fail for all
+    peers after it.
 
     Raises:
-        exceptions.RecordInvalid: It names no node that could be reached.
+        exceptions.RecordInvalid: It is not a valid entry, or its address is
+            invalid.
     """
     try:
         found = msgspec.json.decode(value, type=Entry)
@@ -306,10 +313,10 @@
 
 
 def parse_socket_address(text: str) -> tuple[str, int]:
-    """Decodes IP:PORT.
+    """Parses IP:PORT.
 
     Raises:
-        exceptions.RecordInvalid: It is no address.
+        exceptions.RecordInvalid: It is not an address.
     """
     try:
         host, _, port = text.rpartition(":")
@@ -318,5 +325,5 @@
     except ValueError as error:
         raise exceptions.RecordInvalid(str(error)) from error
     if not 0 < number < 65536:
-        raise exceptions.RecordInvalid(f"no port: {port}")
+        raise exceptions.RecordInvalid(f"invalid port: {port}")
     return host, number
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -1,18 +1,21 @@
-"""News that a node still has to tell, of its own or passed on for others."""
+"""Updates that a node still has to send, its own or forwarded ones."""
 
 from collections.abc import Container
 
 from gypsumfold.gateway.peers import messages
 
-# Prompts that wait to be told; of more the newest are told.
+# Maximum number of prompts waiting to be sent; the newest are kept.
 MAX_PLACEMENTS = 256
 
 
 class Outbox:
-    """News until they are told; those that last are told each time.
+    """Collects updates to send.
+
+    Placements and unreachable replicas are sent once. Closings and roles are
+    sent each time until they end.
 
     >>> outbox = Outbox()
-    >>> outbox.close("i-1", until=4.5)
+    >>> outbox.add_closing("i-1", until=4.5)
     >>> outbox.take(now=0.0).closed
     {'i-1': 4.5}
     """
@@ -25,25 +28,25 @@
         self.start_times: dict[str, int] = {}
 
     def add_placement(self, placed: messages.Placement) -> None:
-        """Notes that a prompt was sent to an engine."""
+        """Adds a prompt that was sent to an engine."""
         self.placements.append(placed)
         del self.placements[:-MAX_PLACEMENTS]
 
     def add_unreachable(self, instance: str) -> None:
-        """Notes that a replica could not be reached."""
+        """Adds a replica that could not be reached."""
         if instance not in self.unreachable:
             self.unreachable.append(instance)
 
     def add_closing(
         self, engine: str, until: float, started_at: int = 0
     ) -> bool:
-        """Notes that an engine gets no work while it changes its role.
+        """Adds an engine that gets no work while it changes its role.
 
-        What was said of its last role holds no more: received after this, it
-        would open the engine again.
+        Its last role is dropped: received after this, it would open the engine
+        again.
 
         Returns:
-            Whether that is updates, not a longer time.
+            Whether the engine was open; False if only the time was extended.
         """
         is_new = engine not in self.closings
         self.closings[engine] = until
@@ -54,28 +57,28 @@
     def add_role(
         self, engine: str, role: str, until: float, started_at: int = 0
     ) -> None:
-        """Notes that an engine has its new role."""
+        """Adds the new role of an engine that has changed it."""
         self.roles[engine] = (role, until)
         self.closings.pop(engine, None)
         self.start_times[engine] = started_at
 
     def forget(self, engine: str) -> None:
-        """Says no more of an engine that is gone or has started again."""
+        """Drops updates on an engine that was removed or has restarted."""
         self.closings.pop(engine, None)
         self.roles.pop(engine, None)
         self.start_times.pop(engine, None)
 
     def retain_closings(self, changing: Container[str]) -> None:
-        """Says no more of closings whose end has been seen elsewhere."""
+        """Drops closings whose end this node has learnt elsewhere."""
         for engine in list(self.closings):
             if engine not in changing:
                 self.forget(engine)
 
     def add_updates(self, updates: messages.Updates, now: float) -> bool:
-        """Passes on what another node tells.
+        """Adds another node's updates, to forward them.
 
         Returns:
-            Whether an engine was closed that was open, which cannot wait.
+            Whether they close an engine that was open, which is urgent.
         """
         urgent = False
         for placed in updates.placements:
@@ -93,12 +96,12 @@
     def take(
         self, now: float, max_placements: int = MAX_PLACEMENTS
     ) -> messages.Updates:
-        """What is to be told now.
+        """Returns the updates to send now.
 
         Args:
             now: The time.
-            max_placements: Prompts at most; those with the most tokens that
-                others may share are told, the rest is not.
+            max_placements: Maximum number of prompts. Those with the most
+                shareable tokens are kept, the rest is dropped.
         """
         placed, self.placements = self.placements, []
         if len(placed) > max_placements:
@@ -125,5 +128,5 @@
 
 
 def shareable_tokens(placed: messages.Placement) -> int:
-    """Tokens of a prompt before its last part, which is its caller's own."""
+    """Tokens of a prompt without its last block, which is not shared."""
     return sum(placed.tokens[:-1])
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/queries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/queries.py
@@ -1,4 +1,4 @@
-"""What a node asks its relay by TCP: what fits into no datagram."""
+"""Queries to a relay over HTTP, for answers too large for a datagram."""
 
 from collections.abc import Callable
 
@@ -10,12 +10,12 @@
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import seals
 
-# Seconds for one question: the largest answer, a configuration of 1,500 routes,
-# takes 0.3 s on a link of 10 Mbit/s, and a few nodes may ask at once.
+# Timeout of one query in seconds: the largest answer, a configuration of 1,500
+# routes, takes 0.3 s on a link of 10 Mbit/s, and a few nodes may ask at once.
 TIMEOUT_SECONDS = 3.0
-# Seconds until another node is connected; one that is gone does not answer.
+# Connect timeout in seconds; a node that has stopped does not answer.
 CONNECT_TIMEOUT_SECONDS = 0.5
-# Largest answer in bytes; configurations of the users have up to 0.3 MB.
+# Maximum bytes of an answer; configurations of the users have up to 0.3 MB.
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 
 CONFIGURATION = "/configuration"
@@ -24,11 +24,11 @@
 
 
 class RegistrationList(msgspec.Struct, array_like=True):
-    """All registrations that a node knows.
+    """All registrations known to a node.
 
     Attributes:
         end: Offset up to which it has read them.
-        entries: One for each replica.
+        entries: One registration for each replica.
     """
 
     end: messages.Count
@@ -36,13 +36,13 @@
 
 
 class CachedPrefixes(msgspec.Struct, array_like=True):
-    """What one engine is believed to keep, least recently used first.
+    """Prefixes that an engine is expected to cache, least recently used first.
 
     Attributes:
-        engine: Its instance.
-        born: Its start; 0 if it does not say.
-        links: Hashes of beginnings of prompts.
-        tokens: Tokens that each one adds.
+        engine: The engine's instance.
+        started_at: The engine's start time; 0 if unknown.
+        prefix_hashes: Hashes of prompt prefixes.
+        tokens: Tokens that each prefix adds to the one before.
     """
 
     engine: str
@@ -56,9 +56,9 @@
 
 
 class QueryHandler:
-    """Serves the questions of other nodes.
+    """Answers the queries of other nodes.
 
-    >>> answers = Answers(sealer)
+    >>> answers = QueryHandler(sealer)
     >>> answers.sources[CONFIGURATION] = lambda: b"{}"
     """
 
@@ -67,7 +67,7 @@
         self.sources: dict[str, Callable[[], bytes]] = {}
 
     async def handle(self, request: web.BaseRequest) -> web.Response:
-        """Answers one question; 404 where there is nothing to say."""
+        """Answers one query, with 404 if there is no answer."""
         source = self.sources.get(request.path)
         found = source() if source is not None else b""
         if not found:
@@ -76,10 +76,10 @@
 
 
 class QueryClient:
-    """Asks other nodes.
+    """Sends queries to other nodes.
 
-    >>> questions = Questions(session, sealer)
-    >>> await questions.ask(("10.1.0.38", 7380), CONFIGURATION)
+    >>> queries = QueryClient(session, sealer)
+    >>> await queries.fetch(("10.1.0.38", 7380), CONFIGURATION)
     b'{"version": 7}'
     """
 
@@ -88,12 +88,12 @@
         self.sealer = sealer
 
     async def fetch(self, address: tuple[str, int], path: str) -> bytes:
-        """Asks one node.
+        """Sends a query to one node.
 
         Raises:
-            exceptions.PeerUnreachable: It does not answer.
-            exceptions.PeerRefused: It has nothing to say, or too much.
-            exceptions.RecordInvalid: The answer is not sealed.
+            exceptions.PeerUnreachable: The node does not answer.
+            exceptions.PeerRefused: It has no answer, or one that is too large.
+            exceptions.RecordInvalid: The answer has no valid seal.
         """
         host, port = address
         limit = aiohttp.ClientTimeout(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -1,4 +1,4 @@
-"""What a relay keeps for the nodes that report to it, and for other relays."""
+"""State that a relay keeps about its subscribers and about other relays."""
 
 from typing import NamedTuple
 
@@ -7,24 +7,24 @@
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import outbox as outbox_module
 
-# Seconds after its last report for which a node is told; it reports once a
-# second at the least.
+# Seconds after its last report for which a node is sent summaries; it reports
+# at least once a second.
 SUBSCRIPTION_SECONDS = 3.0
-# Seconds between two signs of life to a node for which this one stands by.
+# Seconds between two heartbeats to a node for which this one is the standby.
 HEARTBEAT_INTERVAL_SECONDS = 1.0
-# Seconds after which a relay of another data centre counts as silent.
+# Seconds of silence after which a relay of another data centre is dropped.
 RELAY_EXPIRY_SECONDS = 1.5
-# Relays of one other data centre that are told, and seconds for which two
-# that do not answer are tried.
+# Relays in each other data centre that are sent summaries; and seconds after
+# which the next nodes are probed if these do not answer.
 TARGETS_PER_DATA_CENTRE = 2
 PROBE_SECONDS = 0.5
-# Nodes of another data centre that are tried by turns: its relay is one of
-# the first that run.
+# Nodes of another data centre that are probed by turns: its relay is one of the
+# highest ranked nodes that run.
 MAX_PROBED = 8
 
 
 class Subscriber:
-    """A node that reports here."""
+    """A node that reports to this one."""
 
     def __init__(self, member: members_module.Member):
         self.member = member
@@ -35,7 +35,7 @@
 
 
 class RemoteRelay:
-    """A relay of another data centre, with the sums that it told."""
+    """A relay of another data centre, with the load totals it sent."""
 
     def __init__(self, member: members_module.Member):
         self.member = member
@@ -45,17 +45,17 @@
 
 
 class DueSubscribers(NamedTuple):
-    """Who is told now: all that there is, or just a sign of life."""
+    """Subscribers that are due a full summary or only a heartbeat."""
 
     full: list[Subscriber]
     heartbeats: list[Subscriber]
 
 
 class Relaying:
-    """Subscribers and relays of other data centres, by what they say.
+    """Tracks subscribers and relays of other data centres by their messages.
 
     >>> relaying = Relaying(members)
-    >>> relaying.report(member, report, now=0.0)
+    >>> relaying.receive_report(member, report, now=0.0)
     True
     """
 
@@ -74,10 +74,10 @@
         report: messages.Report,
         now: float,
     ) -> bool:
-        """Takes a report in.
+        """Records a report.
 
         Returns:
-            Whether its sender is new here and waits for an answer.
+            Whether its sender is new and waits for an answer.
         """
         found = self.subscribers.get(member.name)
         new = found is None
@@ -93,13 +93,13 @@
         return new and report.subscription_level != messages.SUBSCRIBE_PRESENCE
 
     def add_mesh_node(self, member: members_module.Member, now: float) -> None:
-        """Notes a node that tells everybody by itself; it gets a sign."""
+        """Records a node that is still in a mesh; it is sent heartbeats."""
         found = self.subscribers.setdefault(member.name, Subscriber(member))
         found.level = messages.SUBSCRIBE_HEARTBEATS
         found.last_seen = now
 
     def expire(self, now: float) -> None:
-        """Drops subscribers and relays that are silent."""
+        """Drops subscribers and relays that have been silent for too long."""
         for name, subscriber in list(self.subscribers.items()):
             if now - subscriber.last_seen > SUBSCRIPTION_SECONDS:
                 del self.subscribers[name]
@@ -109,7 +109,7 @@
                     del sources[name]
 
     def due_subscribers(self, now: float) -> DueSubscribers:
-        """Who is to be told now."""
+        """Returns the subscribers to which something is to be sent now."""
         full = []
         heartbeats = []
         for subscriber in self.subscribers.values():
@@ -126,7 +126,7 @@
     def data_centre_loads(
         self, own: messages.EngineLoads
     ) -> messages.EngineLoads:
-        """The work of all nodes of this data centre."""
+        """Returns the total loads of all nodes of this data centre."""
         parts = [own]
         for subscriber in self.subscribers.values():
             parts.append(subscriber.loads)
@@ -138,7 +138,7 @@
         summary: messages.Summary,
         now: float,
     ) -> None:
-        """Takes in what a relay of another data centre tells."""
+        """Records a summary from a relay of another data centre."""
         sources = self.remote_relays.setdefault(member.data_centre, {})
         source = sources.setdefault(member.name, RemoteRelay(member))
         source.member = member
@@ -148,7 +148,7 @@
         self.last_relays[member.data_centre] = member
 
     def best_relay(self, data_centre: str) -> RemoteRelay | None:
-        """The relay of a data centre that speaks for most of its nodes."""
+        """Returns the relay of a data centre that covers most of its nodes."""
         found = None
         for source in self.remote_relays.get(data_centre, {}).values():
             if found is None or rank_key(source) > rank_key(found):
@@ -156,7 +156,7 @@
         return found
 
     def node_count(self) -> int:
-        """How many nodes there are on the site, as far as relays say."""
+        """Counts the nodes of the site by what relays have reported."""
         count = 1 + len(self.subscribers)
         for data_centre in self.remote_relays:
             source = self.best_relay(data_centre)
@@ -165,7 +165,7 @@
         return count
 
     def relay_targets(self, now: float) -> list[members_module.Member]:
-        """The relays of other data centres that are to be told."""
+        """Returns the nodes of other data centres that get summaries."""
         found = []
         for data_centre in self.members.data_centres():
             if data_centre == self.members.own.data_centre:
@@ -184,10 +184,10 @@
     def probe_targets(
         self, data_centre: str, now: float
     ) -> list[members_module.Member]:
-        """Nodes of a data centre of which no relay was heard, by turns.
+        """Returns nodes to probe, by turns, where no relay is known.
 
-        The last one that was heard is told on: after a cut it is there at
-        once.
+        The last known relay is always one of them: when a network partition
+        ends it gets summaries at once.
         """
         ranked = self.members.ranked(data_centre)[:MAX_PROBED]
         start, since = self.probes.get(data_centre, (0, now))
@@ -204,5 +204,5 @@
 
 
 def rank_key(source: RemoteRelay) -> tuple[int, str]:
-    """Sorts relays of one data centre: most nodes last."""
+    """Sort key for relays of one data centre: most nodes last."""
     return source.node_count, source.member.name
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
@@ -1,4 +1,4 @@
-"""Takes what other nodes tell of engines into what this one believes."""
+"""Applies what other nodes report about engines to local state."""
 
 from gypsumfold import events
 from gypsumfold.decisions import prefix_routing as prefix_routing_module
@@ -8,10 +8,10 @@
 
 
 class RemoteState:
-    """What this node believes of engines by the updates of others.
+    """Applies the updates of other nodes to routing and the directory.
 
-    >>> beliefs = Beliefs(homes, directory)
-    >>> beliefs.hear(updates, now=0.0)
+    >>> remote_state = RemoteState(homes, directory)
+    >>> remote_state.apply(updates, now=0.0)
     """
 
     def __init__(
@@ -23,7 +23,7 @@
         self.directory = directory
 
     def apply(self, updates: messages.Updates, now: float) -> None:
-        """Takes in what happened elsewhere."""
+        """Applies updates of another node."""
         for engine, seconds in updates.closed.items():
             if self.is_newest_incarnation(engine, updates):
                 self.directory.close_until(engine, now + seconds)
@@ -41,14 +41,14 @@
     def is_newest_incarnation(
         self, engine: str, updates: messages.Updates
     ) -> bool:
-        """Whether a peer speaks of the engine that this node knows."""
+        """Whether updates are about the engine process this node knows."""
         if engine not in self.directory.replicas:
             return False
         started_at = updates.start_times.get(engine, 0)
         return self.directory.incarnations.observe(engine, started_at)
 
     def apply_role(self, engine: str, role: str, until: float) -> None:
-        """Takes an engine's new role in as a peer says it."""
+        """Applies an engine's new role as a peer reports it."""
         try:
             found = decision_types.Role(role)
         except ValueError as error:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -1,4 +1,4 @@
-"""What a node says of itself: to its relay, or to every other node."""
+"""Reports that a node sends to its relay or to every other node."""
 
 import math
 
@@ -9,22 +9,23 @@
 from gypsumfold.gateway.peers import sending
 from gypsumfold.gateway.peers import summaries
 
-# Seconds that a report takes to be in its relay's sums: the way there, and
-# the wait for a processor that is in use.
+# Seconds until a report is in its relay's load totals: network delay, and the
+# wait for a busy processor.
 REPORT_DELAY_SECONDS = 0.015
-# Seconds after which a node of a mesh tells again what it has read; a little
-# less than between two reports where nothing happens, so that each has it.
+# Seconds after which a node of a mesh sends its store knowledge again; slightly
+# less than the time between two reports of an idle node, so that each of those
+# carries it.
 KNOWLEDGE_REFRESH_SECONDS = 0.9
 
 
 class Reports:
-    """Makes this node's reports and sends them.
+    """Creates and sends this node's reports.
 
     Attributes:
-        sent: When this node told its relay what it has at the engines.
+        sent_loads: The loads recently reported to the relay, with the time.
 
     >>> reports = Reports(members, relays, loads, sender)
-    >>> reports.to_relay(choice, updates, now=0.0)
+    >>> reports.send_to_relay(choice, updates, now=0.0)
     """
 
     def __init__(
@@ -48,9 +49,9 @@
         knowledge: summaries.Knowledge | None,
         now: float,
     ) -> None:
-        """Tells every node what this one has, and what it has read.
+        """Sends every node this one's loads and store knowledge.
 
-        One that does not reach the store learns who leaves by that.
+        Nodes that cannot reach the store learn by it which replicas leave.
         """
         self.sender.send_report(
             list(self.members.known.values()),
@@ -63,7 +64,7 @@
     def knowledge_if_due(
         self, knowledge: summaries.Knowledge | None, now: float
     ) -> messages.Knowledge | None:
-        """What this node knows from the store, if it is time to tell it."""
+        """Returns this node's store knowledge if it is to be sent now."""
         found = knowledge.outgoing(True) if knowledge is not None else None
         if found is None:
             return None
@@ -81,7 +82,7 @@
         updates: messages.Updates,
         now: float,
     ) -> None:
-        """Tells the relay, and those that could be it, what this node has."""
+        """Reports to the relay, the standby and nodes asked to relay."""
         self.record_sent_loads(now)
         self.send([choice.relay], messages.SUBSCRIBE_ALL, updates, now)
         others = list(choice.asked)
@@ -90,7 +91,7 @@
         self.send(others, messages.SUBSCRIBE_HEARTBEATS, updates, now)
 
     def announce(self, choice: relays_module.Choice, now: float) -> None:
-        """Makes this node known to those that could relay as well."""
+        """Announces this node to others that might also be relays."""
         self.send(
             choice.asked, messages.SUBSCRIBE_HEARTBEATS, messages.Updates(), now
         )
@@ -102,7 +103,7 @@
         )
 
     def record_sent_loads(self, now: float) -> None:
-        """Keeps what was reported, to be taken out of the relay's sums."""
+        """Records reported loads, to subtract them from the relay's totals."""
         self.sent_loads.append((now, self.loads.own(now)))
         while (
             len(self.sent_loads) > 1
@@ -111,7 +112,7 @@
             del self.sent_loads[0]
 
     def own_loads_at_relay(self) -> messages.EngineLoads:
-        """What the relay's sums have of this node by now."""
+        """Returns this node's loads that the relay's totals contain by now."""
         if self.sent_loads:
             return self.sent_loads[0][1]
         return messages.EngineLoads({}, {}, {}, {})
@@ -123,7 +124,7 @@
         updates: messages.Updates,
         now: float,
     ) -> None:
-        """Sends a report, and notes who is asked for an answer by it."""
+        """Sends a report and records which receivers have to answer it."""
         self.sender.send_report(receivers, level, self.loads.own(now), updates)
         if level < messages.SUBSCRIBE_HEARTBEATS:
             return
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/seals.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/seals.py
@@ -1,10 +1,10 @@
-"""Frames of datagrams: a version, and a seal where there is a key.
+"""Frames of datagrams: a version and, where a key is set, a seal (a MAC).
 
-Whoever reaches a node's port could make it believe that engines are closed or
-replicas gone. With a key in the settings a frame that is not sealed with one
-of them is dropped. A key is changed without a stop: the new one is added to
-all nodes behind the old one, then put first, then the old one is removed;
-each step is a change of settings files.
+Without a key, anybody who reaches a node's port could report engines as closed
+or replicas as unreachable. If the settings have keys, frames that are not
+sealed with one of them are dropped. Keys are rotated without a restart by three
+changes of the settings files: add the new key behind the old one on all nodes,
+put it first, then remove the old one.
 """
 
 import hashlib
@@ -12,9 +12,9 @@
 
 from gypsumfold import exceptions
 
-# Of the messages in a frame; nodes of another version are not understood.
+# Version of the messages in a frame; frames of other versions are dropped.
 VERSION = 2
-# Bytes of a seal: one in 2^128 guesses is right.
+# Bytes of a seal: a guess is right once in 2^128.
 SEAL_BYTES = 16
 HEADER = bytes([VERSION])
 
@@ -31,22 +31,22 @@
         self.keys = [key.encode() for key in keys]
 
     def seal(self, data: bytes) -> bytes:
-        """Makes a frame of a message."""
+        """Wraps a message in a frame."""
         if not self.keys:
             return HEADER + data
         return HEADER + seal(self.keys[0], data) + data
 
     @property
     def overhead(self) -> int:
-        """Bytes that a frame has beyond its message."""
+        """Bytes that a frame adds to its message."""
         return len(HEADER) + (SEAL_BYTES if self.keys else 0)
 
     def open(self, frame: bytes) -> bytes:
-        """Takes the message out of a frame.
+        """Returns the message in a frame.
 
         Raises:
-            exceptions.RecordInvalid: It is of another version, or sealed
-                with none of the keys.
+            exceptions.RecordInvalid: The frame has another version or no
+                valid seal.
         """
         if frame[:1] != HEADER:
             raise exceptions.RecordInvalid("a frame of another version")
@@ -61,6 +61,6 @@
 
 
 def seal(key: bytes, data: bytes) -> bytes:
-    """The seal of a message under one key; keys may have any length."""
+    """Computes the seal of a message under a key of any length."""
     short = hashlib.blake2b(key, digest_size=32).digest()
     return hashlib.blake2b(data, digest_size=SEAL_BYTES, key=short).digest()
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -8,19 +8,21 @@
 from gypsumfold.gateway.peers import messages
 from gypsumfold.gateway.peers import seals
 
-# Nodes that a relay introduces to those which report to it.
+# Nodes of its data centre that a relay lists to those that report to it.
 MAX_INTRODUCED = 3
 
 
 class Sender:
-    """Numbers, seals and sends what this node says.
+    """Numbers, seals and sends this node's messages.
 
     Attributes:
-        bytes_sent: Bytes of all datagrams by kind.
+        bytes_sent: Bytes of all datagrams, by kind of message.
 
     >>> sender = Sender(members, sealer)
     >>> sender.transport = transport
-    >>> sender.report([relay], messages.WANTS_ALL, amounts, updates)
+    >>> sender.send_report(
+    ...     [relay], messages.SUBSCRIBE_ALL, loads, updates
+    ... )
     """
 
     def __init__(self, members: members_module.Members, sealer: seals.Sealer):
@@ -33,7 +35,7 @@
     def send(
         self, kind: str, data: bytes, receivers: list[members_module.Member]
     ) -> None:
-        """Sends one datagram to each of some nodes."""
+        """Sends a datagram to each receiver."""
         self.bytes_sent[kind] += len(data) * len(receivers)
         for member in receivers:
             self.transport.sendto(data, member.address)
@@ -46,7 +48,7 @@
         updates: messages.Updates,
         knowledge: messages.Knowledge | None = None,
     ) -> None:
-        """Sends one report; what does not fit of the prompts is left out."""
+        """Sends a report; prompts that do not fit are left out."""
         if not receivers:
             return
         self.sequence += 1
@@ -66,7 +68,7 @@
         summary: messages.Summary,
         receivers: list[members_module.Member],
     ) -> int:
-        """Sends a summary in as many datagrams as it takes.
+        """Sends a summary, split into several datagrams if needed.
 
         Returns:
             Bytes that were sent.
@@ -86,7 +88,7 @@
         canaries: list[messages.Canary],
         receivers: list[members_module.Member],
     ) -> int:
-        """Sends updates of requests that may crash replicas.
+        """Sends updates on requests that may crash replicas.
 
         Returns:
             Bytes that were sent.
@@ -100,14 +102,14 @@
         return len(data) * len(receivers)
 
     def own_contact(self) -> messages.Contact:
-        """This node as others rank it."""
+        """Returns this node's own contact, without its address."""
         own = self.members.own
         return messages.Contact(
             own.name, own.node, own.data_centre, power=own.power
         )
 
     def top_ranked_contacts(self) -> list[messages.Contact]:
-        """The nodes that rank highest in this data centre."""
+        """Returns the highest ranked nodes of this data centre."""
         ranked = self.members.ranked(self.members.own.data_centre)
         found = []
         for member in ranked[:MAX_INTRODUCED]:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -1,4 +1,4 @@
-"""What a relay tells the nodes of its data centre and other relays."""
+"""Summaries that a relay sends to its subscribers and to other relays."""
 
 from typing import Protocol
 
@@ -10,7 +10,7 @@
 from gypsumfold.gateway.peers import relaying as relaying_module
 from gypsumfold.gateway.peers import sending
 
-# Summaries after which the best ranked nodes are introduced again: once a
+# The highest ranked nodes are listed in one of this many summaries: once a
 # second.
 SUMMARIES_PER_INTRODUCTION = 10
 # Bytes that a prompt takes in a summary.
@@ -18,10 +18,10 @@
 
 
 class Knowledge(Protocol):
-    """What this node knows from the store."""
+    """What this node has read in the store."""
 
     def outgoing(self, between_relays: bool) -> messages.Knowledge | None:
-        """What nodes are sent that follow this one, or other relays."""
+        """Returns what to send to subscribers, or to other relays."""
 
     def receive(
         self,
@@ -29,17 +29,18 @@
         address: tuple[str, int],
         between_relays: bool,
     ) -> None:
-        """Takes in what a relay knows, and where it answers questions."""
+        """Applies what another node knows, and its address for queries."""
 
 
 class Summaries:
-    """Makes summaries of what is new, and sends them.
+    """Creates and sends summaries.
 
     Attributes:
-        knowledge: What this node knows from the store.
+        knowledge: What this node has read in the store.
 
     >>> summaries = Summaries(relaying, loads, sender, directory, bandwidth)
-    >>> summaries.tell_nodes(relaying.due(0.0), 195, False, now=0.0)
+    >>> due = relaying.due_subscribers(0.0)
+    >>> summaries.send_to_nodes(due, 195, False, now=0.0)
     """
 
     def __init__(
@@ -67,12 +68,13 @@
         partitioned: bool,
         now: float,
     ) -> None:
-        """Tells the nodes of this data centre that report here.
+        """Sends summaries to the nodes that report to this one.
 
         Args:
-            due: Who is to be told what.
-            node_count: How many there are on the site.
-            partitioned: Whether the rest of the site may count without these.
+            due: Subscribers to send to.
+            node_count: Number of nodes of the site.
+            partitioned: Whether the rest of the site may count without these
+                nodes.
             now: The time.
         """
         if not due.full and not due.heartbeats:
@@ -118,7 +120,7 @@
             self.send(summary, [one.member for one in due.full], now)
 
     def send_to_relays(self, now: float) -> None:
-        """Tells the relays of the other data centres."""
+        """Sends a summary to the relays of the other data centres."""
         targets = self.relaying.relay_targets(now)
         if not targets:
             return
@@ -135,7 +137,7 @@
             self.relaying.relay_outbox.take(
                 now, self.max_placements(len(targets), now)
             ),
-            # A relay that is cut off from the store hears of it by this.
+            # A relay that cannot reach the store gets its contents by this.
             self.knowledge.outgoing(True) if self.knowledge else None,
         )
         self.send(summary, targets, now)
@@ -146,11 +148,14 @@
         receivers: list[members_module.Member],
         now: float,
     ) -> None:
-        """Sends a summary; sums and signs of life go out in any case."""
+        """Sends a summary, whatever bandwidth is left.
+
+        Load totals and heartbeats always go out.
+        """
         size = self.sender.send_summary(summary, receivers)
         self.bandwidth.spend(size, now)
 
     def max_placements(self, receivers: int, now: float) -> int:
-        """How many prompts the link bears in a summary to some nodes."""
+        """Returns how many prompts the bandwidth allows in a summary."""
         left = self.bandwidth.available(now)
         return max(0, int(left / (PLACEMENT_BYTES * receivers)))
