--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -60,7 +60,7 @@
         drop: Called with the name of a node that is gone.
 
     >>> entries = Entries(store, leadership, members, 16, clock)
-    >>> await entries.run(site)
+    >>> await entries.run(observer)
     """
 
     def __init__(
@@ -93,8 +93,8 @@
         """Takes in all nodes' entries in the store."""
         self.read_once = True
         present = {record.key for record in records if record.value}
-        lately = self.clock() - RECENTLY_SEEN_SECONDS
-        for member in self.members.not_seen_since(lately):
+        recently = self.clock() - RECENTLY_SEEN_SECONDS
+        for member in self.members.not_seen_since(recently):
             if member.node not in present:
                 self.on_node_removed(member.name)
         self.others.retain(present)
@@ -163,7 +163,7 @@
         """
         return self.entered or self.delayed
 
-    async def run(self, site: Observer) -> None:
+    async def run(self, observer: Observer) -> None:
         """Enters this node and looks after the entries while it runs."""
         await self.announce()
         while True:
@@ -171,7 +171,7 @@
                 async with asyncio.timeout(CHECK_INTERVAL_SECONDS):
                     await self.due.wait()
             self.due.clear()
-            await self.check(site)
+            await self.check(observer)
 
     async def announce(self) -> None:
         """Enters this node in the store; returns when others can know it."""
@@ -240,75 +240,75 @@
         self.withdrawn = True
         await self.put_record(self.members.own.node, b"")
 
-    async def check(self, site: Observer) -> None:
+    async def check(self, observer: Observer) -> None:
         """Renews entries of nodes that run; lets go those of dead ones."""
-        await self.renew(site)
+        await self.renew(observer)
         now = self.clock()
-        stood_still = now - self.checked_at > STALL_SECONDS
+        stalled = now - self.checked_at > STALL_SECONDS
         self.checked_at = now
         for member in self.members.not_seen_since(now - FORGET_AFTER_SECONDS):
-            if site.can_observe(member):
+            if observer.can_observe(member):
                 self.on_node_removed(member.name)
-        if stood_still or not site.can_remove_entries():
+        if stalled or not observer.can_remove_entries():
             self.listening_since = now
             return
         if (
             now - self.listening_since
             >= member_entries_module.SUSPECT_AFTER_SECONDS
         ):
-            await self.mark_suspected(site)
-        await self.remove_dead(site)
+            await self.mark_suspected(observer)
+        await self.remove_dead(observer)
 
-    async def renew(self, site: Observer) -> None:
+    async def renew(self, observer: Observer) -> None:
         """Writes this node's entry again, and those for which it vouches."""
         if self.lost and not self.withdrawn:
             self.lost = False
             await self.enter()
             events.log(events.ENTRY_RENEWED, peer=self.members.own.node)
-        lately = self.clock() - RECENTLY_SEEN_SECONDS
+        recently = self.clock() - RECENTLY_SEEN_SECONDS
         for entered in self.others.suspected():
             name = self.members.names_by_node.get(entered.node, "")
             member = self.members.known.get(name)
-            if member is None or self.members.last_seen[name] < lately:
+            if member is None or self.members.last_seen[name] < recently:
                 continue
-            if not site.can_renew(member) or not await self.write_entry(
+            if not observer.can_renew(member) or not await self.write_entry(
                 member, False
             ):
                 continue
             self.others.put(member, False, self.clock())
             events.log(events.ENTRY_RENEWED, peer=member.node)
 
-    async def mark_suspected(self, site: Observer) -> None:
+    async def mark_suspected(self, observer: Observer) -> None:
         """Marks the entries of nodes that should be heard and are not.
 
         They are read first: some may be gone by now, or of a later start.
         """
-        if not self.unobserved(site) or not await self.read_all():
+        if not self.unobserved(observer) or not await self.read_all():
             return
-        for member in self.unobserved(site):
+        for member in self.unobserved(observer):
             if not await self.write_entry(member, True):
                 return
             self.others.put(member, True, self.clock())
             events.log(events.ENTRY_SUSPECTED, peer=member.node)
 
-    def unobserved(self, site: Observer) -> list[members_module.Member]:
+    def unobserved(self, observer: Observer) -> list[members_module.Member]:
         """The nodes that should be heard and are not."""
         silent = self.others.to_suspect(self.members, self.clock())
-        return [member for member in silent if site.can_observe(member)]
+        return [member for member in silent if observer.can_observe(member)]
 
-    def removable(self, site: Observer) -> list[members_module.Member]:
+    def removable(self, observer: Observer) -> list[members_module.Member]:
         """The nodes whose entries are to go, as far as is known."""
         dead = self.others.expired(self.clock())
-        return [member for member in dead if site.can_observe(member)]
+        return [member for member in dead if observer.can_observe(member)]
 
-    async def remove_dead(self, site: Observer) -> None:
+    async def remove_dead(self, observer: Observer) -> None:
         """Removes entries that were marked and that nobody has renewed.
 
         They are read first: they may have been renewed since.
         """
-        if not self.removable(site) or not await self.read_all():
+        if not self.removable(observer) or not await self.read_all():
             return
-        for member in self.removable(site):
+        for member in self.removable(observer):
             if not await self.put_record(member.node, b""):
                 return
             self.apply_removal(member.node)
