--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
@@ -23,7 +23,7 @@
         self.directory = directory
 
     def apply(self, updates: messages.Updates, now: float) -> None:
-        """Applies updates of another node."""
+        """Takes in what happened elsewhere."""
         for engine, seconds in updates.closed.items():
             if self.is_newest_incarnation(engine, updates):
                 self.directory.close_until(engine, now + seconds)
