--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_updates.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/crash_updates.py
@@ -25,7 +25,7 @@
 
 
 class UpdateBatch(NamedTuple):
-    """News of requests that may crash replicas.
+    """Updates on requests that may crash replicas.
 
     Attributes:
         interrupted: Requests that crashes interrupted.
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/entries.py
@@ -1,4 +1,4 @@
-"""All nodes' entries in the store, by which a starting node finds others."""
+"""Nodes' entries in the store, by which a starting node finds the others."""
 
 import asyncio
 from collections.abc import Callable
@@ -18,46 +18,47 @@
 from gypsumfold.platform import names
 from gypsumfold.platform import store as store_module
 
-# Seconds of silence after which a node is forgotten by those that would hear
-# it; its entry counts on.
+# Seconds of silence after which a node is forgotten by those that would receive
+# its messages; its entry still counts.
 FORGET_AFTER_SECONDS = 30.0
-# Seconds within which a node that was heard is kept though it has no entry.
+# Seconds after its last message for which a node without an entry is kept.
 RECENTLY_SEEN_SECONDS = 3.0
-# Seconds until an entry that could not be written is written again.
+# Seconds until a failed read or write of entries is tried again.
 RETRY_SECONDS = 0.3
-# Seconds between two looks at the entries.
+# Seconds between two checks of the entries.
 CHECK_INTERVAL_SECONDS = 1.0
-# Seconds between two looks after which this node itself has stood still, and
-# what it has not heard says nothing.
+# Seconds between two checks after which this node itself has stalled, so that
+# messages it has not received prove nothing.
 STALL_SECONDS = 3.0
 
 
 class Observer(Protocol):
-    """How this node hears the others."""
+    """Says which nodes this one can observe, and its duties for entries."""
 
     def can_observe(self, member: members_module.Member) -> bool:
-        """Whether it would hear another one, if that ran."""
+        """Whether this node would receive messages of another if that ran."""
 
     def can_remove_entries(self) -> bool:
-        """Whether it looks after the entries of those that it hears."""
+        """Whether this node removes the entries of dead nodes."""
 
     def can_renew(self, member: members_module.Member) -> bool:
-        """Whether it renews the entry of another one that it hears."""
+        """Whether this node renews another one's entry on its behalf."""
 
 
 class Entries:
-    """Enters this node in the store and follows the entries of others.
+    """Writes this node's entry to the store and tracks those of others.
 
     Attributes:
-        roster: The entries of the others.
-        read: Whether all entries were read once.
-        entered: Whether this node has its own entry.
-        delayed: Whether it could not be entered at once.
-        withdrawn: Whether its entry is to be gone, as it stops.
-        lost: Whether its entry was seen gone, or as another wrote it.
-        ready: Called where the entries of others may be read.
-        many: Called where there are more nodes than a mesh may have.
-        drop: Called with the name of a node that is gone.
+        others: The entries of the other nodes.
+        read_once: Whether all entries have been read at least once.
+        entered: Whether this node's own entry has been written.
+        delayed: Whether the first attempt to write it failed.
+        withdrawn: Whether it was removed for good, as this node stops.
+        lost: Whether it was found missing, marked as suspected, or written by
+            an earlier incarnation.
+        on_readable: Called when the entries of others may be read.
+        on_mesh_exceeded: Called when there are too many nodes for a mesh.
+        on_node_removed: Called with the name of a node that was removed.
 
     >>> entries = Entries(store, leadership, members, 16, clock)
     >>> await entries.run(observer)
@@ -90,7 +91,7 @@
         self.on_node_removed: Callable[[str], None] = members.remove
 
     def replace(self, records: list[store_module.Record]) -> None:
-        """Takes in all nodes' entries in the store."""
+        """Replaces all entries with those in the store."""
         self.read_once = True
         present = {record.key for record in records if record.value}
         recently = self.clock() - RECENTLY_SEEN_SECONDS
@@ -103,7 +104,7 @@
         self.update(records)
 
     def update(self, records: list[store_module.Record]) -> None:
-        """Takes in entries that came since."""
+        """Applies entries that changed since the last read."""
         now = self.clock()
         self.others.record_read(now)
         for record in records:
@@ -122,7 +123,7 @@
             self.on_mesh_exceeded()
 
     def apply_entry(self, node: str, entry: messages.Entry, now: float) -> None:
-        """Takes in one entry; one that is suspected makes nobody known."""
+        """Applies one entry; a suspected one does not add a known member."""
         own = self.members.own
         if node == own.node:
             if entry.suspected or entry.member < own.name:
@@ -140,7 +141,7 @@
             self.members.add(member, now)
 
     def apply_removal(self, node: str) -> None:
-        """Takes in that an entry is gone."""
+        """Applies the removal of an entry."""
         if node == self.members.own.node:
             if self.entered:
                 self.others.own_missing_at = self.clock()
@@ -150,7 +151,7 @@
         self.on_node_removed(self.members.names_by_node.get(node, ""))
 
     def mark_lost(self) -> None:
-        """Notes that this node's entry is not as it has to be."""
+        """Marks this node's own entry for renewal, unless it was withdrawn."""
         if self.entered and not self.withdrawn:
             self.lost = True
             self.due.set()
@@ -158,13 +159,13 @@
     def can_read(self) -> bool:
         """Whether the entries of others may be read for the first time.
 
-        Two nodes that both read before the other is entered would not know
-        of each other until they read again.
+        Two nodes that both read before the other is entered would not know of
+        each other until their next read.
         """
         return self.entered or self.delayed
 
     async def run(self, observer: Observer) -> None:
-        """Enters this node and looks after the entries while it runs."""
+        """Enters this node and maintains the entries while it runs."""
         await self.announce()
         while True:
             with contextlib.suppress(TimeoutError):
@@ -174,20 +175,27 @@
             await self.check(observer)
 
     async def announce(self) -> None:
-        """Enters this node in the store; returns when others can know it."""
+        """Enters this node; if that was delayed, reads all entries again."""
         await self.enter()
         if self.delayed:
             await self.reread()
 
     async def reread(self) -> None:
-        """Reads all entries, since this node was entered after a reading."""
+        """Reads all entries again, until the store answers.
+
+        If this node was entered late, its first read came before its entry.
+        """
         while True:
             if await self.read_all():
                 return
             await asyncio.sleep(RETRY_SECONDS)
 
     async def read_all(self) -> bool:
-        """Reads all entries once; whether the store answered."""
+        """Reads all entries once.
+
+        Returns:
+            Whether the store answered.
+        """
         asked = clocks.now()
         try:
             page = await self.store.newest(names.NODES_TOPIC)
@@ -198,7 +206,7 @@
         return True
 
     async def enter(self) -> None:
-        """Enters this node in the store; returns when it is there."""
+        """Writes this node's entry to the store, until that succeeds."""
         while True:
             if await self.write_entry(self.members.own, False):
                 self.entered = True
@@ -211,7 +219,11 @@
     async def write_entry(
         self, member: members_module.Member, suspected: bool
     ) -> bool:
-        """Writes a node's entry; whether the store has taken it."""
+        """Writes a node's entry.
+
+        Returns:
+            Whether the store accepted it.
+        """
         host, port = member.address
         entry = messages.Entry(
             f"{host}:{port}",
@@ -223,7 +235,11 @@
         return await self.put_record(member.node, msgspec.json.encode(entry))
 
     async def put_record(self, node: str, value: bytes) -> bool:
-        """Writes a VM's record; whether the store has taken it."""
+        """Writes a VM's record.
+
+        Returns:
+            Whether the store accepted it.
+        """
         asked = clocks.now()
         try:
             await self.store.put(names.NODES_TOPIC, node, value)
@@ -235,13 +251,13 @@
     async def withdraw(self) -> None:
         """Removes this node's entry, for a shutdown.
 
-        Where the store does not take that, another node removes it later.
+        If that fails, another node removes the entry later.
         """
         self.withdrawn = True
         await self.put_record(self.members.own.node, b"")
 
     async def check(self, observer: Observer) -> None:
-        """Renews entries of nodes that run; lets go those of dead ones."""
+        """Renews entries of running nodes and removes those of dead ones."""
         await self.renew(observer)
         now = self.clock()
         stalled = now - self.checked_at > STALL_SECONDS
@@ -260,7 +276,7 @@
         await self.remove_dead(observer)
 
     async def renew(self, observer: Observer) -> None:
-        """Writes this node's entry again, and those for which it vouches."""
+        """Renews this node's lost entry and suspected entries of others."""
         if self.lost and not self.withdrawn:
             self.lost = False
             await self.enter()
@@ -279,9 +295,10 @@
             events.log(events.ENTRY_RENEWED, peer=member.node)
 
     async def mark_suspected(self, observer: Observer) -> None:
-        """Marks the entries of nodes that should be heard and are not.
+        """Marks the entries of silent nodes as suspected.
 
-        They are read first: some may be gone by now, or of a later start.
+        The entries are read first, since some may have been removed by now or
+        written by a later incarnation.
         """
         if not self.unobserved(observer) or not await self.read_all():
             return
@@ -292,19 +309,19 @@
             events.log(events.ENTRY_SUSPECTED, peer=member.node)
 
     def unobserved(self, observer: Observer) -> list[members_module.Member]:
-        """The nodes that should be heard and are not."""
+        """Returns the silent nodes whose messages this node would receive."""
         silent = self.others.to_suspect(self.members, self.clock())
         return [member for member in silent if observer.can_observe(member)]
 
     def removable(self, observer: Observer) -> list[members_module.Member]:
-        """The nodes whose entries are to go, as far as is known."""
+        """Returns the nodes whose suspected entries have expired."""
         dead = self.others.expired(self.clock())
         return [member for member in dead if observer.can_observe(member)]
 
     async def remove_dead(self, observer: Observer) -> None:
-        """Removes entries that were marked and that nobody has renewed.
+        """Removes suspected entries that nobody has renewed in time.
 
-        They are read first: they may have been renewed since.
+        The entries are read first, since they may have been renewed by now.
         """
         if not self.removable(observer) or not await self.read_all():
             return
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -1,14 +1,14 @@
-"""Tells the other nodes what this one does, and hears what they do.
+"""Exchanges load, placements and engine changes with the other nodes.
 
-Each node sees a fraction of the requests, but a queue at an engine is made by
-all of them. Engines' own reports come too late and cost their time. So nodes
-send each other small datagrams: seconds of prompts that each engine still has
-to read for them, and which beginnings were sent to it. A lost one is made up
-for by the next; nothing depends on any of them.
+Each node sees a fraction of the requests, but all of them add to the queue at
+an engine. Engines' own reports come too late and take up their time. So nodes
+send each other small datagrams: the seconds of prefill that each engine still
+has to do for them, and the prompt prefixes that were sent to it. The next
+datagram makes up for a lost one; nothing depends on any single one.
 
-Up to a handful of nodes tell each other directly. More of them report to a
-relay of their data centre (`decisions/relays.py`), which tells them and the
-relays of the other data centres.
+Up to a handful of nodes form a mesh: each reports to every other one. More
+nodes report to a relay of their data centre (`decisions/relays.py`), which
+sends summaries to them and to the relays of the other data centres.
 """
 
 import asyncio
@@ -42,27 +42,27 @@
 from gypsumfold.gateway.peers import summaries as summaries_module
 from gypsumfold.platform import store as store_module
 
-# Seconds between two datagrams to the same peer at the least: a prompt takes
-# several times as long to read.
+# Minimum seconds between two datagrams to the same peer: prefill of a prompt
+# takes several times as long.
 MIN_REPORT_INTERVAL_SECONDS = 0.03
-# Datagrams a second that one node sends at most; with more than four peers
-# the interval grows. Each costs sender and receiver about 30 us.
+# Maximum datagrams a second that one node sends; with more than four peers the
+# interval grows. Each costs sender and receiver about 30 us.
 MAX_DATAGRAMS_PER_SECOND = 150
-# Seconds between two messages of a relay: a third of the time that a prompt
-# takes to be read, at ten datagrams a second for each node.
+# Seconds between two messages of a relay: a third of the time that prefill of a
+# prompt takes, at ten datagrams a second for each node.
 RELAY_INTERVAL_SECONDS = 0.1
-# Seconds between two messages at the least, however urgent they are.
+# Minimum seconds between two messages, however urgent they are.
 MIN_SEND_INTERVAL_SECONDS = 0.02
-# Seconds after which what is sent at once is known everywhere, also where the
-# first datagram was lost.
+# Seconds after which an update that is sent immediately has reached all nodes,
+# even if its first datagram was lost: in a mesh, and by relays.
 PROPAGATION_SECONDS = 0.05
 RELAYED_PROPAGATION_SECONDS = 0.25
-# Seconds between two full datagrams where nothing changes.
+# Seconds between two full datagrams while nothing changes.
 REFRESH_SECONDS = 1.0
 
 
 class Gossip(asyncio.DatagramProtocol):
-    """Sends this node's placements to its peers and takes theirs in.
+    """Sends this node's loads and updates to its peers and receives theirs.
 
     >>> gossip = Gossip(settings, store, homes, leadership, directory)
     >>> await gossip.start()
@@ -145,9 +145,9 @@
         directory.removal_listeners.append(self.forget_replica)
 
     def can_observe(self, member: members_module.Member) -> bool:
-        """Whether this node would hear another one, if that ran.
+        """Whether this node would receive messages of another if that ran.
 
-        One that follows a relay hears no others but relays.
+        A node that reports to a relay receives messages of relays only.
         """
         if self.meshed:
             return True
@@ -157,23 +157,23 @@
         )
 
     def can_remove_entries(self) -> bool:
-        """Whether this node removes the entries of dead ones."""
+        """Whether this node removes the entries of dead nodes."""
         if self.meshed:
             return self.leadership.token(self.clock()) is not None
         return self.relays.is_settled(self.clock())
 
     def can_renew(self, member: members_module.Member) -> bool:
-        """Whether this node renews the entry of another one that it hears.
+        """Whether this node renews another one's entry on its behalf.
 
-        One that follows a relay does not read the entries, and does not learn
-        that its own is suspected.
+        A node that reports to a relay does not read the entries, so it does not
+        learn that its own is suspected.
         """
         own = self.members.own.data_centre
         relays = not self.meshed and self.choice.relay is None
         return relays and member.data_centre == own
 
     def drop_node(self, name: str) -> None:
-        """Forgets a node that has left or is gone."""
+        """Forgets a node that has left or died."""
         self.members.remove(name)
         self.relays.forget(name)
         self.last_sequences.pop(name, None)
@@ -188,22 +188,22 @@
         )
 
     def sent(self, engine: str, links: list[int], tokens: list[int]) -> None:
-        """Notes that this node sent a prompt to an engine."""
+        """Records that this node sent a prompt to an engine."""
         self.outbox.add_placement(messages.Placement(engine, links, tokens))
         self.changed.set()
 
     def report_unreachable(self, instance: str) -> None:
-        """Lets the other nodes look after a replica as well."""
+        """Makes the other nodes probe an unreachable replica as well."""
         self.outbox.add_unreachable(instance)
         self.changed.set()
 
     def forget_replica(self, replica: types.Replica) -> None:
-        """Says no more of an engine that is gone or has started again."""
+        """Drops updates on an engine that was removed or has restarted."""
         for outbox in self.outboxes():
             outbox.forget(replica.instance)
 
     def outboxes(self) -> tuple[outbox_module.Outbox, ...]:
-        """This node's updates, and those that it passes on."""
+        """The outboxes for this node's own updates and for forwarded ones."""
         return (
             self.outbox,
             self.relaying.node_outbox,
@@ -211,11 +211,11 @@
         )
 
     def done(self) -> None:
-        """Notes that this node has less at an engine."""
+        """Records that this node's load at an engine has decreased."""
         self.changed.set()
 
     def announce_closing(self, engine: str, seconds: float) -> None:
-        """Tells all nodes that an engine gets no work for a while."""
+        """Announces to all nodes that an engine gets no work for a while."""
         until = self.clock() + seconds
         if self.outbox.add_closing(engine, until, self.start_time(engine)):
             self.urgent.set()
@@ -224,13 +224,13 @@
     def announce_role(
         self, engine: str, role: decision_types.Role, seconds: float
     ) -> None:
-        """Notes that an engine has its new role."""
+        """Announces that an engine has its new role."""
         until = self.clock() + seconds
         self.outbox.add_role(engine, role.value, until, self.start_time(engine))
         self.changed.set()
 
     def start_time(self, engine: str) -> int:
-        """The newest known start of an engine; 0 if it does not say."""
+        """Returns an engine's newest known start time; 0 if unknown."""
         return self.directory.incarnations.known_starts([engine]).get(engine, 0)
 
     async def run(self) -> None:
@@ -254,7 +254,7 @@
                     await self.urgent.wait()
 
     async def run_relay(self) -> None:
-        """Looks for a relay, and relays where this node is the one."""
+        """Chooses a relay, and relays where this node is the relay."""
         while True:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(
@@ -272,13 +272,13 @@
             self.send_summaries(now)
 
     def resend_to_relay(self, now: float) -> None:
-        """Sends a relay what has changed a second time: datagrams get lost."""
+        """Sends the relay the last change again, as datagrams may be lost."""
         if self.resend_due and self.choice.relay is not None:
             self.resend_due = False
             self.send_report(now)
 
     def send_report(self, now: float) -> None:
-        """Tells what this node has, to its relay or to every node."""
+        """Reports this node's loads to its relay or to every node."""
         if self.meshed:
             knowledge = self.summaries.knowledge
             self.reports.send_to_all(self.take_updates(now), knowledge, now)
@@ -289,26 +289,26 @@
             if now - self.announced_at >= REFRESH_SECONDS:
                 self.announce(now)
             return
-        # All get the same updates; each is told what it is asked for.
+        # All receivers get the same updates; the subscription levels differ.
         self.reports.send_to_relay(choice, self.take_updates(now), now)
 
     def note_store_read(self) -> None:
-        """Notes that this node has read something new in the store."""
+        """Schedules a report after this node has read changes in the store."""
         if self.meshed:
             self.changed.set()
 
     def announce(self, now: float) -> None:
-        """Makes this node known to those that could relay as well."""
+        """Announces this node to others that might also be relays."""
         self.announced_at = now
         self.reports.announce(self.choice, now)
 
     def take_updates(self, now: float) -> messages.Updates:
-        """This node's own updates, to be told once."""
+        """Returns this node's own updates to send now."""
         self.outbox.retain_closings(self.directory.changing_until)
         return self.outbox.take(now)
 
     def choose_relay(self, now: float) -> None:
-        """Looks for the relay again, and changes over to another one."""
+        """Chooses the relay again and switches to it if it changed."""
         before = self.choice.relay
         asked = self.choice.asked
         self.choice = self.relays.choose(now)
@@ -336,7 +336,7 @@
         self.send_report(now)
 
     def leave_mesh(self) -> None:
-        """Reports to a relay from now on."""
+        """Switches from reporting to all nodes to reporting to a relay."""
         if not self.meshed:
             return
         self.meshed = False
@@ -344,7 +344,7 @@
         self.choose_relay(self.clock())
 
     def send_summaries(self, now: float) -> None:
-        """Tells those who report here, and other relays, what is new."""
+        """Sends summaries to subscribers and, if a relay, to other relays."""
         relays = self.choice.relay is None
         if relays:
             self.forward(self.take_updates(now), now)
@@ -356,13 +356,13 @@
     def send_to_nodes(
         self, due: relaying_module.DueSubscribers, now: float
     ) -> None:
-        """Tells the nodes that report here what is new."""
+        """Sends summaries to the nodes that report to this one."""
         self.summaries.send_to_nodes(
             due, self.site_node_count(), self.is_partitioned(), now
         )
 
     def datagram_received(self, data: bytes, address) -> None:
-        """Takes a peer's datagram in; older than the last one is dropped."""
+        """Receives a peer's datagram; one older than the last is dropped."""
         try:
             if len(data) > messages.MAX_DATAGRAM_BYTES:
                 raise exceptions.RecordInvalid(f"{len(data)} bytes: too many")
@@ -377,7 +377,7 @@
             return
         now = self.clock()
         self.last_sequences[sender.member] = message.sequence
-        # A node that started after the entries were read is known by this.
+        # This makes a node known that started after the entries were read.
         member = members_module.Member(
             sender.member,
             sender.node,
@@ -400,7 +400,7 @@
         report: messages.Report,
         now: float,
     ) -> None:
-        """Takes in what one node says of itself."""
+        """Receives a node's report."""
         until = now + loads_module.EXPIRY_SECONDS
         if report.subscription_level == messages.SUBSCRIBE_NONE:
             if self.meshed:
@@ -412,7 +412,7 @@
             return
         self.leave_mesh()
         if self.relaying.receive_report(member, report, now):
-            # It waits for an answer to know that somebody relays.
+            # The sender waits for an answer to know that a relay is there.
             due = self.relaying.due_subscribers(now)
             self.send_to_nodes(due, now)
         if self.choice.relay is None:
@@ -427,7 +427,7 @@
         summary: messages.Summary,
         now: float,
     ) -> None:
-        """Takes in what a relay tells."""
+        """Receives a relay's summary."""
         self.leave_mesh()
         self.receive_knowledge(member, summary.knowledge, summary.to_relays)
         if summary.to_relays:
@@ -458,7 +458,7 @@
         received: messages.Knowledge | None,
         between: bool,
     ) -> None:
-        """Takes in what another node knows from the store."""
+        """Receives what another node has read in the store."""
         knowledge = self.summaries.knowledge
         if received is not None and knowledge is not None:
             knowledge.receive(received, member.address, between)
@@ -469,7 +469,7 @@
         summary: messages.Summary,
         now: float,
     ) -> None:
-        """Takes in what the relay of another data centre tells."""
+        """Receives a summary from a relay of another data centre."""
         data_centre = member.data_centre
         if data_centre == self.members.own.data_centre:
             return
@@ -485,7 +485,7 @@
                 self.urgent.set()
 
     def forward(self, updates: messages.Updates, now: float) -> None:
-        """Tells others what a node of this data centre has told."""
+        """Forwards updates of a node of this data centre."""
         self.relaying.relay_outbox.add_updates(updates, now)
         if self.relaying.node_outbox.add_updates(updates, now):
             self.urgent.set()
@@ -493,7 +493,7 @@
     def add_contacts(
         self, contacts: list[messages.Contact], now: float
     ) -> None:
-        """Takes in the nodes that a relay introduces."""
+        """Adds the nodes that a relay lists in its summary."""
         for contact in contacts:
             try:
                 address = messages.parse_socket_address(contact.address)
@@ -510,22 +510,22 @@
             self.members.add(member, now)
 
     def error_received(self, error: Exception) -> None:
-        """Nothing depends on a datagram; a dead peer's entry goes later."""
+        """Ignores errors: datagrams may be lost, dead peers time out."""
 
     def is_store_reader(self) -> bool:
-        """Whether this node reads the store for itself, and for others."""
+        """Whether this node reads the store itself, and for others."""
         return self.meshed or self.choice.relay is None
 
     def relay_address(self) -> tuple[str, int] | None:
-        """Where the relay answers questions; None where this node is it."""
+        """Returns the relay's address for queries; None if this node is it."""
         relay = self.choice.relay
         return None if relay is None else relay.address
 
     def is_confirmed_reader(self) -> bool:
-        """Whether this node surely reads for itself and others.
+        """Whether it is certain that this node reads the store itself.
 
-        One that starts knows that once it has read who else takes part, and
-        none that ranks higher has still to answer.
+        A starting node is certain once it has read the other nodes' entries and
+        no higher ranked node still has to answer.
         """
         return (
             self.entries.read_once
@@ -534,19 +534,19 @@
         )
 
     def store_reader_count(self) -> int:
-        """How many nodes read the store for all."""
+        """Counts the nodes that read the store for all."""
         if self.meshed:
             return self.node_count()
         return len(self.members.data_centres())
 
     def can_lead(self) -> bool:
-        """Whether this node offers to give orders to engines."""
+        """Whether this node may become the leader, which orders engines."""
         if self.meshed:
             return self.entries.read_once
         return self.relays.is_settled(self.clock())
 
     def node_count(self) -> int:
-        """Counts the nodes that were heard of lately, this one included."""
+        """Counts the recently seen nodes, this one included."""
         now = self.clock()
         if self.meshed:
             return self.node_counter.count_recent(now)
@@ -555,13 +555,13 @@
         return self.node_counter.highest
 
     def site_node_count(self) -> int:
-        """Counts the site's nodes as those are told that follow this one."""
+        """Counts the site's nodes, as sent to this node's subscribers."""
         if self.has_relay():
             return self.node_counter.highest
         return self.node_counter.with_entries(self.node_count())
 
     def sharing_node_count(self) -> int:
-        """Counts the nodes that share what the site has once; 0 if unknown."""
+        """Counts the nodes that share site-wide budgets; 0 if unknown."""
         known_for = self.clock() - self.entries.others.first_read_at
         if known_for < node_count_module.STARTUP_SECONDS:
             return 0
@@ -570,26 +570,26 @@
         return self.site_node_count()
 
     def is_partitioned(self) -> bool:
-        """Whether the others may share what the site has without this node."""
+        """Whether others may share site-wide budgets without this node."""
         if self.has_relay():
             return self.node_counter.partitioned
         return self.node_counter.is_partitioned(self.node_count(), self.clock())
 
     def is_relay(self) -> bool:
-        """Whether this node passes on what other nodes send."""
+        """Whether this node forwards what other nodes send."""
         return not self.meshed and self.choice.relay is None
 
     def propagation_time(self) -> float:
-        """Seconds until all nodes have what was sent at once."""
+        """Seconds until all nodes have an update that is sent immediately."""
         return (
             PROPAGATION_SECONDS if self.meshed else RELAYED_PROPAGATION_SECONDS
         )
 
     def crash_update_receivers(self) -> list[members_module.Member]:
-        """Whom this node sends what it knows of requests that crash replicas.
+        """Returns the receivers of updates on requests that crash replicas.
 
-        One that relays sends it to those that report here and to the relays of
-        other data centres, others to all or to their relays.
+        A relay sends them to the nodes that report to it and to the relays of
+        other data centres; other nodes send them to all or to their relays.
         """
         if self.meshed:
             return list(self.members.known.values())
