--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -95,7 +95,7 @@
 ) -> tuple[messages.Updates, messages.Updates]:
     """Splits updates in two, each with the start times of its engines."""
     halves = []
-    placed = split_list(updates.placements)
+    placements = split_list(updates.placements)
     unreachable = split_list(updates.unreachable)
     closed = split_dict(updates.closed)
     roles = split_dict(updates.roles)
@@ -106,7 +106,7 @@
                 start_times[engine] = updates.start_times[engine]
         halves.append(
             messages.Updates(
-                placed[place],
+                placements[place],
                 closed[place],
                 roles[place],
                 unreachable[place],
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/outbox.py
@@ -27,9 +27,9 @@
         self.roles: dict[str, tuple[str, float]] = {}
         self.start_times: dict[str, int] = {}
 
-    def add_placement(self, placed: messages.Placement) -> None:
+    def add_placement(self, placement: messages.Placement) -> None:
         """Adds a prompt that was sent to an engine."""
-        self.placements.append(placed)
+        self.placements.append(placement)
         del self.placements[:-MAX_PLACEMENTS]
 
     def add_unreachable(self, instance: str) -> None:
@@ -81,8 +81,8 @@
             Whether they close an engine that was open, which is urgent.
         """
         urgent = False
-        for placed in updates.placements:
-            self.add_placement(placed)
+        for placement in updates.placements:
+            self.add_placement(placement)
         for engine, seconds in updates.closed.items():
             started_at = updates.start_times.get(engine, 0)
             urgent |= self.add_closing(engine, now + seconds, started_at)
@@ -103,10 +103,10 @@
             max_placements: Maximum number of prompts. Those with the most
                 shareable tokens are kept, the rest is dropped.
         """
-        placed, self.placements = self.placements, []
-        if len(placed) > max_placements:
-            placed.sort(key=shareable_tokens, reverse=True)
-            del placed[max_placements:]
+        placements, self.placements = self.placements, []
+        if len(placements) > max_placements:
+            placements.sort(key=shareable_tokens, reverse=True)
+            del placements[max_placements:]
         unreachable, self.unreachable = self.unreachable, []
         closed = {}
         for engine, until in list(self.closings.items()):
@@ -124,9 +124,11 @@
         for engine, started_at in self.start_times.items():
             if started_at:
                 start_times[engine] = started_at
-        return messages.Updates(placed, closed, roles, unreachable, start_times)
+        return messages.Updates(
+            placements, closed, roles, unreachable, start_times
+        )
 
 
-def shareable_tokens(placed: messages.Placement) -> int:
+def shareable_tokens(placement: messages.Placement) -> int:
     """Tokens of a prompt without its last block, which is not shared."""
-    return sum(placed.tokens[:-1])
+    return sum(placement.tokens[:-1])
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/relaying.py
@@ -103,10 +103,10 @@
         for name, subscriber in list(self.subscribers.items()):
             if now - subscriber.last_seen > SUBSCRIPTION_SECONDS:
                 del self.subscribers[name]
-        for sources in self.remote_relays.values():
-            for name, source in list(sources.items()):
-                if now - source.last_seen > RELAY_EXPIRY_SECONDS:
-                    del sources[name]
+        for relays in self.remote_relays.values():
+            for name, relay in list(relays.items()):
+                if now - relay.last_seen > RELAY_EXPIRY_SECONDS:
+                    del relays[name]
 
     def due_subscribers(self, now: float) -> DueSubscribers:
         """Returns the subscribers to which something is to be sent now."""
@@ -139,29 +139,29 @@
         now: float,
     ) -> None:
         """Records a summary from a relay of another data centre."""
-        sources = self.remote_relays.setdefault(member.data_centre, {})
-        source = sources.setdefault(member.name, RemoteRelay(member))
-        source.member = member
-        source.node_count = summary.node_count
-        source.last_seen = now
-        source.decoder.receive(summary.load_delta, now)
+        relays = self.remote_relays.setdefault(member.data_centre, {})
+        relay = relays.setdefault(member.name, RemoteRelay(member))
+        relay.member = member
+        relay.node_count = summary.node_count
+        relay.last_seen = now
+        relay.decoder.receive(summary.load_delta, now)
         self.last_relays[member.data_centre] = member
 
     def best_relay(self, data_centre: str) -> RemoteRelay | None:
         """Returns the relay of a data centre that covers most of its nodes."""
         found = None
-        for source in self.remote_relays.get(data_centre, {}).values():
-            if found is None or rank_key(source) > rank_key(found):
-                found = source
+        for relay in self.remote_relays.get(data_centre, {}).values():
+            if found is None or rank_key(relay) > rank_key(found):
+                found = relay
         return found
 
     def node_count(self) -> int:
         """Counts the nodes of the site by what relays have reported."""
         count = 1 + len(self.subscribers)
         for data_centre in self.remote_relays:
-            source = self.best_relay(data_centre)
-            if source is not None:
-                count += source.node_count
+            relay = self.best_relay(data_centre)
+            if relay is not None:
+                count += relay.node_count
         return count
 
     def relay_targets(self, now: float) -> list[members_module.Member]:
@@ -170,12 +170,11 @@
         for data_centre in self.members.data_centres():
             if data_centre == self.members.own.data_centre:
                 continue
-            sources = list(self.remote_relays.get(data_centre, {}).values())
-            sources.sort(key=rank_key, reverse=True)
-            if sources:
+            relays = list(self.remote_relays.get(data_centre, {}).values())
+            relays.sort(key=rank_key, reverse=True)
+            if relays:
                 found += [
-                    source.member
-                    for source in sources[:TARGETS_PER_DATA_CENTRE]
+                    relay.member for relay in relays[:TARGETS_PER_DATA_CENTRE]
                 ]
             else:
                 found += self.probe_targets(data_centre, now)
@@ -203,6 +202,6 @@
         return found
 
 
-def rank_key(source: RemoteRelay) -> tuple[int, str]:
+def rank_key(relay: RemoteRelay) -> tuple[int, str]:
     """Sort key for relays of one data centre: most nodes last."""
-    return source.node_count, source.member.name
+    return relay.node_count, relay.member.name
