--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -247,8 +247,8 @@
     def registrations_pause(self) -> float:
         """Returns the seconds until the registrations are read again.
 
-        A node that reads for others doesn't pause but waits at the store for a
-        change, unless there are many.
+        A node that reads for others waits at the store for a change instead,
+        unless the last read returned records.
         """
         watch = self.watches["registrations"]
         if not self.gossip.meshed and not watch.has_new_records:
