--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -279,7 +279,7 @@
     if names.KINDS[record.kind] != routes.Kind.STREAMING:
         return 0.0
     return max(
-        names.PATIENCE,
+        names.MIN_ABANDON_TIMEOUT_SECONDS,
         names.PATIENCE_OBJECTIVES * record.objective_ms / 1000,
         names.PATIENCE_PAUSES * record.pause_ms / 1000,
     )
