--- a/packages/gypsumfold/src/gypsumfold/platform/names.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/names.py
@@ -106,5 +106,5 @@
 # Seconds without an event after which callers leave a stream: the longest of
 # these, with the objective and the declared pause times these factors.
 MIN_ABANDON_TIMEOUT_SECONDS = 2.0
-PATIENCE_OBJECTIVES = 4.0
+ABANDON_TIMEOUT_OBJECTIVES = 4.0
 PATIENCE_PAUSES = 8.0
