--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -281,7 +281,7 @@
     return max(
         names.MIN_ABANDON_TIMEOUT_SECONDS,
         names.ABANDON_TIMEOUT_OBJECTIVES * record.objective_ms / 1000,
-        names.PATIENCE_PAUSES * record.pause_ms / 1000,
+        names.ABANDON_TIMEOUT_PAUSES * record.pause_ms / 1000,
     )
 
 
--- a/packages/gypsumfold/src/gypsumfold/platform/names.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/names.py
@@ -107,4 +107,4 @@
 # these, with the objective and the declared pause times these factors.
 MIN_ABANDON_TIMEOUT_SECONDS = 2.0
 ABANDON_TIMEOUT_OBJECTIVES = 4.0
-PATIENCE_PAUSES = 8.0
+ABANDON_TIMEOUT_PAUSES = 8.0
