--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -103,7 +103,7 @@
     record = convert(value, ConfigurationRecord)
     found = []
     for route in record.routes:
-        if route.kind not in names.KINDS:
+        if route.kind not in names.ROUTE_KINDS:
             raise exceptions.RecordInvalid(
                 f"route {route.name} is of an unknown kind: {route.kind}"
             )
@@ -264,7 +264,7 @@
         name=record.name,
         host=record.host,
         prefix=record.prefix,
-        kind=names.KINDS[record.kind],
+        kind=names.ROUTE_KINDS[record.kind],
         limit=record.limit_ms / 1000,
         objective=(record.objective_ms or record.limit_ms) / 1000,
         urgency=record.urgency,
@@ -276,7 +276,7 @@
 
 
 def _patience(record: RouteRecord) -> float:
-    if names.KINDS[record.kind] != routes.Kind.STREAMING:
+    if names.ROUTE_KINDS[record.kind] != routes.Kind.STREAMING:
         return 0.0
     return max(
         names.MIN_ABANDON_TIMEOUT_SECONDS,
--- a/packages/gypsumfold/src/gypsumfold/platform/names.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/names.py
@@ -89,7 +89,7 @@
 NODES_TOPIC = "keyed.gypsumfold-nodes"
 CRASHES_TOPIC = "keyed.gypsumfold-crashes"
 
-KINDS = {
+ROUTE_KINDS = {
     "idempotent": routes.Kind.IDEMPOTENT,
     "non_idempotent": routes.Kind.NON_IDEMPOTENT,
     "streaming": routes.Kind.STREAMING,
