--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -151,7 +151,7 @@
     Raises:
         exceptions.RecordInvalid: It names no replica that could be used.
     """
-    if record.state not in names.STATES:
+    if record.state not in names.REPLICA_STATES:
         raise exceptions.RecordInvalid(f"an unknown state: {record.state!r}")
     if record.stage and record.stage not in names.ROLES:
         raise exceptions.RecordInvalid(f"an unknown role: {record.stage!r}")
--- a/packages/gypsumfold/src/gypsumfold/platform/names.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/names.py
@@ -101,7 +101,7 @@
 }
 ROLE_WORDS = {role: word for word, role in ROLES.items()}
 DRAINING = "draining"
-STATES = frozenset(("ready", DRAINING))
+REPLICA_STATES = frozenset(("ready", DRAINING))
 
 # Seconds without an event after which callers leave a stream: the longest of
 # these, with the objective and the declared pause times these factors.
