--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -229,7 +229,7 @@
     return json.dumps(
         {
             "op": "stage",
-            "stage": names.ROLE_WORDS[wanted.role],
+            "stage": names.ROLE_NAMES[wanted.role],
             "holder": wanted.holder,
             "fence": wanted.token,
             "expected": wanted.after,
--- a/packages/gypsumfold/src/gypsumfold/platform/names.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/names.py
@@ -99,7 +99,7 @@
     "decode": types.Role.DECODE,
     "colocated": types.Role.MIXED,
 }
-ROLE_WORDS = {role: word for word, role in ROLES.items()}
+ROLE_NAMES = {role: word for word, role in ROLES.items()}
 DRAINING = "draining"
 REPLICA_STATES = frozenset(("ready", DRAINING))
 
