--- a/packages/gypsumfold/src/gypsumfold/platform/names.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/names.py
@@ -76,7 +76,7 @@
 JOIN_PATH = "/v1/log-join"
 LEAVE_PATH = "/v1/log-leave"
 # What each call is named in logs and metrics.
-STORE_CALLS = {
+STORE_CALL_NAMES = {
     APPEND_PATH: "write",
     READ_PATH: "read",
     NEWEST_PATH: "newest",
--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -289,7 +289,7 @@
             exceptions.ConnectionLost: A kept connection did not answer.
             exceptions.LogUnavailable: It refused, failed or was silent.
         """
-        self.calls[names.STORE_CALLS[path]] += 1
+        self.calls[names.STORE_CALL_NAMES[path]] += 1
         limit = aiohttp.ClientTimeout(total=wait + self.margin)
         trace = CallTrace()
         try:
