--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -14,7 +14,7 @@
 
 # What decoding raises for bytes that hold no such value; for lists in lists
 # beyond 1,000 levels it is the last one.
-UNREADABLE = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
+DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 # IP:PORT of a replica.
 ADDRESS = re.compile(r"[0-9a-fA-F.:\[\]]+:[0-9]{1,5}")
 
@@ -250,7 +250,7 @@
     """
     try:
         return msgspec.json.decode(value, type=kind, strict=strict)
-    except UNREADABLE as error:
+    except DECODE_ERRORS as error:
         raise exceptions.RecordInvalid(str(error)) from error
 
 
