--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -224,7 +224,7 @@
     return types.CacheList(parts, record.born or 0)
 
 
-def order(wanted: types.Order) -> bytes:
+def encode_order(wanted: types.Order) -> bytes:
     """Encodes an order to an engine."""
     return json.dumps(
         {
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -147,7 +147,7 @@
             exceptions.OrderRefused: The engine will not carry it out.
             exceptions.EndpointError: It is not known what became of it.
         """
-        body = decoding.order(order)
+        body = decoding.encode_order(order)
         status, _ = await self.ask(replica, "POST", names.ORDER_PATH, body)
         if status not in (200, 202):
             raise exceptions.OrderRefused(f"an order ended with {status}")
