--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -224,15 +224,15 @@
     return types.CacheList(parts, record.born or 0)
 
 
-def encode_order(wanted: types.Order) -> bytes:
+def encode_order(desired: types.Order) -> bytes:
     """Encodes an order to an engine."""
     return json.dumps(
         {
             "op": "stage",
-            "stage": names.ROLE_NAMES[wanted.role],
-            "holder": wanted.holder,
-            "fence": wanted.token,
-            "expected": wanted.after,
+            "stage": names.ROLE_NAMES[desired.role],
+            "holder": desired.holder,
+            "fence": desired.token,
+            "expected": desired.after,
         }
     ).encode()
 
