--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -50,7 +50,7 @@
 
 DECODERS = {
     "registrations": (made_up.REGISTRATION, replica_of),
-    "configurations": (made_up.CONFIGURATION, decoding.configuration),
+    "configurations": (made_up.CONFIGURATION, decoding.decode_configuration),
     "reports of engines": (made_up.REPORT, decoding.state),
     "lists of caches": (made_up.CACHE_LIST, decoding.cache_list),
     "handles of caches": (made_up.HANDLE, decoding.handle),
--- a/packages/gypsumfold/src/gypsumfold/gateway/configurations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/configurations.py
@@ -72,7 +72,7 @@
                 the store, or "peer".
         """
         try:
-            found = decoding.configuration(record)
+            found = decoding.decode_configuration(record)
         except exceptions.RecordInvalid as error:
             events.log(events.CONFIG_UNREADABLE, reason=str(error))
             return
--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -94,7 +94,7 @@
     orders: int = msgspec.field(name="seq", default=0)
 
 
-def configuration(value: bytes) -> types.Configuration:
+def decode_configuration(value: bytes) -> types.Configuration:
     """Decodes the operators' configuration.
 
     Raises:
