--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -33,7 +33,7 @@
 
 def replica_of(value):
     """Decodes a registration."""
-    found = decoding.replica("i-1", value)
+    found = decoding.decode_replica("i-1", value)
     assert isinstance(found.slots, int) and found.slots >= 1, found
     assert isinstance(found.started_at, int) and found.service, found
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/registrations.py
@@ -91,7 +91,7 @@
                 self.drop(record.key, self.state.grace())
                 continue
             try:
-                replica = decoding.replica(record.key, record.value)
+                replica = decoding.decode_replica(record.key, record.value)
             except exceptions.RecordInvalid as error:
                 self.skip(record, str(error))
                 continue
--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -120,7 +120,7 @@
     )
 
 
-def replica(instance: str, value: bytes) -> types.Replica:
+def decode_replica(instance: str, value: bytes) -> types.Replica:
     """Decodes a registration.
 
     Args:
