--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -178,7 +178,7 @@
     handle: str
 
 
-def state(value: bytes) -> types.State:
+def decode_state(value: bytes) -> types.State:
     """Decodes an engine's report.
 
     Raises:
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -126,7 +126,7 @@
             raise exceptions.EndpointMistaken(f"{replica.instance} is gone")
         if status != 200:
             raise exceptions.EndpointRefused(f"a report ended with {status}")
-        return decoding.state(body)
+        return decoding.decode_state(body)
 
     async def cache_list(self, replica: types.Replica) -> types.CacheList:
         """Asks an engine which parts of prompts it keeps.
