--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -197,7 +197,7 @@
     )
 
 
-def handle(value: bytes) -> str:
+def decode_handle(value: bytes) -> str:
     """Decodes the id of a KV cache that waits to be taken.
 
     Raises:
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -98,7 +98,7 @@
                 f"{replica.instance} answered {answer.status}"
             )
         try:
-            handle = decoding.handle(body)
+            handle = decoding.decode_handle(body)
         except exceptions.RecordInvalid as error:
             raise exceptions.AnswerBroken(str(error)) from error
         return types.Handle(
