--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -52,7 +52,7 @@
     "registrations": (made_up.REGISTRATION, replica_of),
     "configurations": (made_up.CONFIGURATION, decoding.decode_configuration),
     "reports of engines": (made_up.REPORT, decoding.decode_state),
-    "lists of caches": (made_up.CACHE_LIST, decoding.cache_list),
+    "lists of caches": (made_up.CACHE_LIST, decoding.decode_cache_list),
     "handles of caches": (made_up.HANDLE, decoding.decode_handle),
     "entries of nodes": (made_up.NODE, entry_of),
 }
--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -213,7 +213,7 @@
     born: int | None = None
 
 
-def cache_list(value: bytes) -> types.CacheList:
+def decode_cache_list(value: bytes) -> types.CacheList:
     """Decodes the parts of prompts that an engine keeps.
 
     Raises:
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -138,7 +138,7 @@
         status, body = await self.ask(replica, "GET", names.CACHE_LIST_PATH)
         if status != 200:
             raise exceptions.EndpointRefused(f"a list ended with {status}")
-        return decoding.cache_list(body)
+        return decoding.decode_cache_list(body)
 
     async def order(self, replica: types.Replica, order: types.Order) -> bool:
         """Gives an order; False if it holds already.
