--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -220,8 +220,8 @@
         exceptions.RecordInvalid: It cannot be read.
     """
     record = convert(value, CacheListRecord)
-    parts = [chains.Block(row[1], row[2]) for row in record.held]
-    return types.CacheList(parts, record.born or 0)
+    blocks = [chains.Block(row[1], row[2]) for row in record.held]
+    return types.CacheList(blocks, record.born or 0)
 
 
 def encode_order(desired: types.Order) -> bytes:
