--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -237,19 +237,19 @@
     ).encode()
 
 
-def convert(value: bytes, kind: type[Any], strict: bool = False) -> Any:
+def convert(value: bytes, record_type: type[Any], strict: bool = False) -> Any:
     """Decodes JSON into one of the records here.
 
     Args:
         value: The JSON text.
-        kind: The type of the record.
+        record_type: The type of the record.
         strict: Whether a number in quotes is no number.
 
     Raises:
         exceptions.RecordInvalid: It cannot be read.
     """
     try:
-        return msgspec.json.decode(value, type=kind, strict=strict)
+        return msgspec.json.decode(value, type=record_type, strict=strict)
     except DECODE_ERRORS as error:
         raise exceptions.RecordInvalid(str(error)) from error
 
