--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -271,11 +271,11 @@
         attempts=record.attempts,
         targets=tuple(targets),
         resumable=record.resumable,
-        abandon_timeout=_patience(record),
+        abandon_timeout=_abandon_timeout(record),
     )
 
 
-def _patience(record: RouteRecord) -> float:
+def _abandon_timeout(record: RouteRecord) -> float:
     if names.ROUTE_KINDS[record.kind] != routes.Kind.STREAMING:
         return 0.0
     return max(
