--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -9,7 +9,7 @@
 from gypsumfold.platform import names
 
 # Digits of a count of tokens; contexts of models hold some millions.
-MOST_DIGITS = 9
+MAX_COUNT_DIGITS = 9
 # Seconds for a request whose caller names no time; longer than any route's.
 NO_LIMIT = 3600.0
 
@@ -91,7 +91,7 @@
     Python refuses to convert more than 4,300 digits, and a float holds no
     more than 308.
     """
-    return value.isdecimal() and len(value) <= MOST_DIGITS
+    return value.isdecimal() and len(value) <= MAX_COUNT_DIGITS
 
 
 def numbers(value: str) -> list[int]:
