--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -11,7 +11,7 @@
 # Digits of a count of tokens; contexts of models hold some millions.
 MAX_COUNT_DIGITS = 9
 # Seconds for a request whose caller names no time; longer than any route's.
-NO_LIMIT = 3600.0
+DEFAULT_TIME_LEFT_SECONDS = 3600.0
 
 
 def decode(
@@ -121,7 +121,7 @@
         exceptions.RequestInvalid: It is no number.
     """
     if not value:
-        return NO_LIMIT
+        return DEFAULT_TIME_LEFT_SECONDS
     try:
         milliseconds = float(value)
     except ValueError:
