--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -63,14 +63,20 @@
     What only nodes may set is taken out, since a caller could name another
     one's KV cache with it.
     """
-    own = set()
+    connection_fields = set()
     for name, value in fields:
         if name.lower() == b"connection":
-            own.update(part.strip().lower() for part in value.split(b","))
+            connection_fields.update(
+                part.strip().lower() for part in value.split(b",")
+            )
     kept = []
     for name, value in fields:
         key = name.lower()
-        if key in names.HOP_BY_HOP or key in names.NODE_ONLY or key in own:
+        if (
+            key in names.HOP_BY_HOP
+            or key in names.NODE_ONLY
+            or key in connection_fields
+        ):
             continue
         if key in (b"content-length", b"expect"):
             continue
