--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -40,7 +40,7 @@
         method=method,
         target=target,
         host=text(found, "Host"),
-        fields=passed_on(fields),
+        fields=forwarded_fields(fields),
         body=body,
         arrival=arrival,
         deadline=arrival + time_left(text(found, names.TIME_LEFT)),
@@ -56,7 +56,7 @@
     return text({name.lower(): value for name, value in fields}, names.ATTEMPT)
 
 
-def passed_on(fields: types.Fields) -> types.Fields:
+def forwarded_fields(fields: types.Fields) -> types.Fields:
     """Keeps the fields that go on to a replica.
 
     A field that the Connection header names concerns this connection only.
