--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -86,9 +86,9 @@
     return tuple(kept)
 
 
-def text(found: dict[bytes, bytes], name: str) -> str:
+def text(headers: dict[bytes, bytes], name: str) -> str:
     """Reads one header; empty where it is missing."""
-    return found.get(name.lower().encode(), b"").decode("latin-1").strip()
+    return headers.get(name.lower().encode(), b"").decode("latin-1").strip()
 
 
 def is_count(value: str) -> bool:
