--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -34,18 +34,18 @@
         exceptions.RequestInvalid: A header cannot be read.
     """
     found = {name.lower(): value for name, value in fields}
-    counts = numbers(text(found, names.TOKEN_COUNTS))
+    counts = numbers(get_header(found, names.TOKEN_COUNTS))
     return types.Call(
-        id=text(found, names.ATTEMPT),
+        id=get_header(found, names.ATTEMPT),
         method=method,
         target=target,
-        host=text(found, "Host"),
+        host=get_header(found, "Host"),
         fields=forwarded_fields(fields),
         body=body,
         arrival=arrival,
-        deadline=arrival + time_left(text(found, names.TIME_LEFT)),
-        model=text(found, names.MODEL),
-        chain=chain(text(found, names.CHAIN)),
+        deadline=arrival + time_left(get_header(found, names.TIME_LEFT)),
+        model=get_header(found, names.MODEL),
+        chain=chain(get_header(found, names.CHAIN)),
         prompt_tokens=counts[0] if counts else 0,
         output_tokens=counts[1] if len(counts) > 1 else 0,
     )
@@ -53,7 +53,9 @@
 
 def call_id(fields: types.Fields) -> str:
     """Reads the id of a caller's attempt; empty where it has none."""
-    return text({name.lower(): value for name, value in fields}, names.ATTEMPT)
+    return get_header(
+        {name.lower(): value for name, value in fields}, names.ATTEMPT
+    )
 
 
 def forwarded_fields(fields: types.Fields) -> types.Fields:
@@ -86,7 +88,7 @@
     return tuple(kept)
 
 
-def text(headers: dict[bytes, bytes], name: str) -> str:
+def get_header(headers: dict[bytes, bytes], name: str) -> str:
     """Reads one header; empty where it is missing."""
     return headers.get(name.lower().encode(), b"").decode("latin-1").strip()
 
