--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -34,7 +34,7 @@
         exceptions.RequestInvalid: A header cannot be read.
     """
     found = {name.lower(): value for name, value in fields}
-    counts = numbers(get_header(found, names.TOKEN_COUNTS))
+    counts = parse_counts(get_header(found, names.TOKEN_COUNTS))
     return types.Call(
         id=get_header(found, names.ATTEMPT),
         method=method,
@@ -102,7 +102,7 @@
     return value.isdecimal() and len(value) <= MAX_COUNT_DIGITS
 
 
-def numbers(value: str) -> list[int]:
+def parse_counts(value: str) -> list[int]:
     """Reads comma-separated counts.
 
     Raises:
