--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -43,7 +43,7 @@
         fields=forwarded_fields(fields),
         body=body,
         arrival=arrival,
-        deadline=arrival + time_left(get_header(found, names.TIME_LEFT)),
+        deadline=arrival + parse_time_left(get_header(found, names.TIME_LEFT)),
         model=get_header(found, names.MODEL),
         chain=chain(get_header(found, names.CHAIN)),
         prompt_tokens=counts[0] if counts else 0,
@@ -122,7 +122,7 @@
     return found
 
 
-def time_left(value: str) -> float:
+def parse_time_left(value: str) -> float:
     """Reads the milliseconds that a caller waits; returns seconds.
 
     Raises:
