--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -150,7 +150,7 @@
     """
     if not value:
         return ()
-    parts = []
+    blocks = []
     for entry in value.split(","):
         part_id, _, tokens = entry.strip().partition(":")
         if not part_id or not is_count(tokens):
@@ -158,8 +158,8 @@
                 f"{names.CHAIN} is not a list of ID:TOKENS",
                 outcomes.Outcome.NOT_RUN,
             )
-        parts.append(chains.Block(part_id, int(tokens)))
-    return tuple(parts)
+        blocks.append(chains.Block(part_id, int(tokens)))
+    return tuple(blocks)
 
 
 def failure_fields(call_id: str, retry_after: float | None) -> dict[str, str]:
