--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -152,13 +152,13 @@
         return ()
     blocks = []
     for entry in value.split(","):
-        part_id, _, tokens = entry.strip().partition(":")
-        if not part_id or not is_count(tokens):
+        block_id, _, tokens = entry.strip().partition(":")
+        if not block_id or not is_count(tokens):
             raise exceptions.RequestInvalid(
                 f"{names.CHAIN} is not a list of ID:TOKENS",
                 outcomes.Outcome.NOT_RUN,
             )
-        blocks.append(chains.Block(part_id, int(tokens)))
+        blocks.append(chains.Block(block_id, int(tokens)))
     return tuple(blocks)
 
 
