--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -45,7 +45,7 @@
         arrival=arrival,
         deadline=arrival + parse_time_left(get_header(found, names.TIME_LEFT)),
         model=get_header(found, names.MODEL),
-        chain=chain(get_header(found, names.CHAIN)),
+        chain=parse_chain(get_header(found, names.CHAIN)),
         prompt_tokens=counts[0] if counts else 0,
         output_tokens=counts[1] if len(counts) > 1 else 0,
     )
@@ -142,7 +142,7 @@
     return max(0.0, milliseconds / 1000)
 
 
-def chain(value: str) -> chains.Chain:
+def parse_chain(value: str) -> chains.Chain:
     """Reads the parts of a prompt: ID:TOKENS, separated by commas.
 
     Raises:
