--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -13,7 +13,7 @@
 
 # Header fields of an answer that are not passed on beside those of the
 # connection: the length is set anew.
-NOT_PASSED_ON = names.HOP_BY_HOP | {b"content-length"}
+NOT_FORWARDED = names.HOP_BY_HOP | {b"content-length"}
 # Seconds that a replica states in its Keep-Alive header.
 KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d+)")
 
@@ -71,7 +71,7 @@
         answer.fields = tuple(
             (name, value)
             for name, value in answer.fields
-            if name.lower() not in NOT_PASSED_ON
+            if name.lower() not in NOT_FORWARDED
         )
         return answer
 
