--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -15,7 +15,7 @@
 # connection: the length is set anew.
 NOT_FORWARDED = names.HOP_BY_HOP | {b"content-length"}
 # Seconds that a replica states in its Keep-Alive header.
-KEEP_ALIVE = re.compile(rb"timeout\s*=\s*(\d+)")
+KEEP_ALIVE_PATTERN = re.compile(rb"timeout\s*=\s*(\d+)")
 
 
 class Replicas:
@@ -232,7 +232,7 @@
 
 def idle_limit(value: bytes) -> float:
     """Seconds for which a connection may be kept, from its header."""
-    found = KEEP_ALIVE.search(value)
+    found = KEEP_ALIVE_PATTERN.search(value)
     if found is None:
         return connections.IDLE_TIMEOUT_SECONDS
     limit = float(found[1]) - connections.IDLE_MARGIN_SECONDS
