--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -47,7 +47,7 @@
         fields = list(call.fields)
         if instructions.last_event:
             # The caller's own names an earlier event, where it has resumed.
-            fields = without(fields, names.LAST_EVENT)
+            fields = remove_field(fields, names.LAST_EVENT)
         fields += added(replica, instructions)
         answer = await self.exchange(
             replica, call.method, call.target, fields, call.body
@@ -200,7 +200,7 @@
         return connections.PooledAnswer(self.pool, replica, connection, event)
 
 
-def without(
+def remove_field(
     fields: list[tuple[bytes, bytes]], name: str
 ) -> list[tuple[bytes, bytes]]:
     """Header fields but for those of one name."""
