--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -48,7 +48,7 @@
         if instructions.last_event:
             # The caller's own names an earlier event, where it has resumed.
             fields = remove_field(fields, names.LAST_EVENT)
-        fields += added(replica, instructions)
+        fields += instruction_fields(replica, instructions)
         answer = await self.exchange(
             replica, call.method, call.target, fields, call.body
         )
@@ -208,7 +208,7 @@
     return [field for field in fields if field[0].lower() != key]
 
 
-def added(
+def instruction_fields(
     replica: types.Replica, instructions: types.Instructions
 ) -> list[tuple[bytes, bytes]]:
     """The header fields that a node adds to a caller's request."""
