--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -235,5 +235,5 @@
     found = KEEP_ALIVE_PATTERN.search(value)
     if found is None:
         return connections.IDLE_TIMEOUT_SECONDS
-    limit = float(found[1]) - connections.IDLE_MARGIN_SECONDS
-    return min(limit, connections.IDLE_TIMEOUT_SECONDS)
+    timeout = float(found[1]) - connections.IDLE_MARGIN_SECONDS
+    return min(timeout, connections.IDLE_TIMEOUT_SECONDS)
