--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -196,7 +196,7 @@
             raise exceptions.AnswerBroken("the replica closed unanswered")
         for name, value in event.headers:
             if name == b"keep-alive":
-                connection.idle_timeout = idle_limit(value)
+                connection.idle_timeout = parse_idle_timeout(value)
         return connections.PooledAnswer(self.pool, replica, connection, event)
 
 
@@ -230,7 +230,7 @@
     return [(name.encode(), value.encode()) for name, value in found]
 
 
-def idle_limit(value: bytes) -> float:
+def parse_idle_timeout(value: bytes) -> float:
     """Seconds for which a connection may be kept, from its header."""
     found = KEEP_ALIVE_PATTERN.search(value)
     if found is None:
