--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -208,7 +208,7 @@
 
     async def connect():
         context.client = store_module.Store(context.proxy.address)
-        context.reader = context.client.reader(store_module.MARGIN)
+        context.reader = context.client.reader(store_module.CALL_MARGIN_SECONDS)
         topic = names.CONFIGURATION_TOPIC
         await asyncio.gather(
             *(context.client.newest(topic) for _ in range(calls))
--- a/features/support/virtual_store.py
+++ b/features/support/virtual_store.py
@@ -109,7 +109,7 @@
     def __init__(self, log: Log, path: Path):
         self.log = log
         self.path = path
-        self.margin = store_module.MARGIN
+        self.margin = store_module.CALL_MARGIN_SECONDS
         self.idle: collections.deque[Connection] = collections.deque()
         path.idle.append(self.idle)
         self.calls: collections.Counter[str] = collections.Counter()
--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -13,7 +13,7 @@
 
 # Seconds that a call may take beyond what the store was asked to wait: it
 # answers in 4 ms, and in a fifth of a second when it is fifty times slower.
-MARGIN = 0.8
+CALL_MARGIN_SECONDS = 0.8
 # Seconds for which an idle connection is kept: longer than between two calls
 # that are made once a second, and no longer, as it may fall silent meanwhile.
 IDLE_LIMIT = 1.5
@@ -131,7 +131,7 @@
     def __init__(self, address: str):
         self.address = address
         self.base = f"http://{address}"
-        self.margin = MARGIN
+        self.margin = CALL_MARGIN_SECONDS
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
                 limit=16, keepalive_timeout=IDLE_LIMIT
