--- a/features/support/virtual_store.py
+++ b/features/support/virtual_store.py
@@ -125,7 +125,7 @@
         """Finds an idle connection or opens one."""
         while self.idle:
             connection = self.idle.popleft()
-            if now - connection.idle_since <= store_module.IDLE_LIMIT:
+            if now - connection.idle_since <= store_module.IDLE_TIMEOUT_SECONDS:
                 return connection
         return Connection()
 
--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -16,7 +16,7 @@
 CALL_MARGIN_SECONDS = 0.8
 # Seconds for which an idle connection is kept: longer than between two calls
 # that are made once a second, and no longer, as it may fall silent meanwhile.
-IDLE_LIMIT = 1.5
+IDLE_TIMEOUT_SECONDS = 1.5
 # Kilobytes of one read: all registrations of 2,900 replicas are less.
 READ_KB = 1024
 # Records of a page of newest records, at most.
@@ -134,7 +134,7 @@
         self.margin = CALL_MARGIN_SECONDS
         self.session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(
-                limit=16, keepalive_timeout=IDLE_LIMIT
+                limit=16, keepalive_timeout=IDLE_TIMEOUT_SECONDS
             ),
             trace_configs=[connection_trace()],
         )
