--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -18,7 +18,7 @@
 # that are made once a second, and no longer, as it may fall silent meanwhile.
 IDLE_TIMEOUT_SECONDS = 1.5
 # Kilobytes of one read: all registrations of 2,900 replicas are less.
-READ_KB = 1024
+MAX_READ_KB = 1024
 # Records of a page of newest records, at most.
 HEADER = struct.Struct(">QQ")
 LENGTH = struct.Struct(">I")
@@ -207,7 +207,7 @@
             "topic": topic,
             "part": "0",
             "from": str(start),
-            "maxKb": str(READ_KB),
+            "maxKb": str(MAX_READ_KB),
             "waitMs": str(int(wait * 1000)),
         }
         body = await self.call("GET", names.READ_PATH, query, wait=wait)
