--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -292,7 +292,7 @@
 )
 def step_answers(context, start, first, end, given):
     record = b"\x03key" + b"value"
-    body = store_module.HEADER.pack(end, first)
+    body = store_module.PAGE_HEADER.pack(end, first)
     for _ in range(given):
         body += store_module.LENGTH.pack(len(record)) + record
     context.page = body
--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -20,7 +20,7 @@
 # Kilobytes of one read: all registrations of 2,900 replicas are less.
 MAX_READ_KB = 1024
 # Records of a page of newest records, at most.
-HEADER = struct.Struct(">QQ")
+PAGE_HEADER = struct.Struct(">QQ")
 LENGTH = struct.Struct(">I")
 
 
@@ -211,15 +211,15 @@
             "waitMs": str(int(wait * 1000)),
         }
         body = await self.call("GET", names.READ_PATH, query, wait=wait)
-        if len(body) < HEADER.size:
+        if len(body) < PAGE_HEADER.size:
             raise exceptions.RecordInvalid("a page without its offsets")
         records = []
-        place = HEADER.size
+        place = PAGE_HEADER.size
         while place < len(body):
             record, place = _keyed(body, place)
             offset = start + len(records)
             records.append(record._replace(offset=offset))
-        end, first = HEADER.unpack_from(body)
+        end, first = PAGE_HEADER.unpack_from(body)
         if first > start or end < start:
             raise HistoryLost(f"{topic} has records {first} to {end}")
         if end > start and not records:
