--- a/features/steps/late_configurations_steps.py
+++ b/features/steps/late_configurations_steps.py
@@ -294,7 +294,7 @@
     record = b"\x03key" + b"value"
     body = store_module.PAGE_HEADER.pack(end, first)
     for _ in range(given):
-        body += store_module.LENGTH.pack(len(record)) + record
+        body += store_module.RECORD_LENGTH.pack(len(record)) + record
     context.page = body
     context.start = start
 
--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -21,7 +21,7 @@
 MAX_READ_KB = 1024
 # Records of a page of newest records, at most.
 PAGE_HEADER = struct.Struct(">QQ")
-LENGTH = struct.Struct(">I")
+RECORD_LENGTH = struct.Struct(">I")
 
 
 class Record(NamedTuple):
@@ -234,7 +234,7 @@
         """
         name = key.encode()
         record = bytes([len(name)]) + name + value
-        data = LENGTH.pack(len(record)) + record
+        data = RECORD_LENGTH.pack(len(record)) + record
         query = {"topic": topic, "part": "0"}
         await self.call("POST", names.APPEND_PATH, query, data)
 
@@ -320,10 +320,10 @@
 
 def _keyed(body: bytes, place: int) -> tuple[Record, int]:
     """Reads the record at a place; returns it and the place after it."""
-    if place + LENGTH.size >= len(body):
+    if place + RECORD_LENGTH.size >= len(body):
         raise exceptions.RecordInvalid("a record is cut off")
-    (length,) = LENGTH.unpack_from(body, place)
-    place += LENGTH.size
+    (length,) = RECORD_LENGTH.unpack_from(body, place)
+    place += RECORD_LENGTH.size
     record = body[place : place + length]
     if len(record) < length or not record or len(record) < 1 + record[0]:
         raise exceptions.RecordInvalid("a record is cut off")
