--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -100,7 +100,7 @@
         self.connection = "no"
 
 
-async def _opening(session, context, params) -> None:
+async def _on_connecting(session, context, params) -> None:
     context.trace_request_ctx.connection = "no"
 
 
@@ -115,7 +115,7 @@
 def connection_trace() -> aiohttp.TraceConfig:
     """Makes sessions tell each `CallTrace` which connection a call uses."""
     trace = aiohttp.TraceConfig()
-    trace.on_connection_create_start.append(_opening)
+    trace.on_connection_create_start.append(_on_connecting)
     trace.on_connection_create_end.append(_opened)
     trace.on_connection_reuseconn.append(_reused)
     return trace
