--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -104,7 +104,7 @@
     context.trace_request_ctx.connection = "no"
 
 
-async def _opened(session, context, params) -> None:
+async def _on_connected(session, context, params) -> None:
     context.trace_request_ctx.connection = "new"
 
 
@@ -116,7 +116,7 @@
     """Makes sessions tell each `CallTrace` which connection a call uses."""
     trace = aiohttp.TraceConfig()
     trace.on_connection_create_start.append(_on_connecting)
-    trace.on_connection_create_end.append(_opened)
+    trace.on_connection_create_end.append(_on_connected)
     trace.on_connection_reuseconn.append(_reused)
     return trace
 
