--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -108,7 +108,7 @@
     context.trace_request_ctx.connection = "new"
 
 
-async def _reused(session, context, params) -> None:
+async def _on_reused(session, context, params) -> None:
     context.trace_request_ctx.connection = "kept"
 
 
@@ -117,7 +117,7 @@
     trace = aiohttp.TraceConfig()
     trace.on_connection_create_start.append(_on_connecting)
     trace.on_connection_create_end.append(_on_connected)
-    trace.on_connection_reuseconn.append(_reused)
+    trace.on_connection_reuseconn.append(_on_reused)
     return trace
 
 
