--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -318,18 +318,18 @@
         return data
 
 
-def _keyed(body: bytes, place: int) -> tuple[Record, int]:
+def _keyed(body: bytes, position: int) -> tuple[Record, int]:
     """Reads the record at a place; returns it and the place after it."""
-    if place + RECORD_LENGTH.size >= len(body):
+    if position + RECORD_LENGTH.size >= len(body):
         raise exceptions.RecordInvalid("a record is cut off")
-    (length,) = RECORD_LENGTH.unpack_from(body, place)
-    place += RECORD_LENGTH.size
-    record = body[place : place + length]
+    (length,) = RECORD_LENGTH.unpack_from(body, position)
+    position += RECORD_LENGTH.size
+    record = body[position : position + length]
     if len(record) < length or not record or len(record) < 1 + record[0]:
         raise exceptions.RecordInvalid("a record is cut off")
     key_end = 1 + record[0]
     key = record[1:key_end].decode(errors="replace")
-    return Record(key, record[key_end:]), place + length
+    return Record(key, record[key_end:]), position + length
 
 
 def _decode(body: bytes, kind):
