--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -216,7 +216,7 @@
         records = []
         place = PAGE_HEADER.size
         while place < len(body):
-            record, place = _keyed(body, place)
+            record, place = _decode_record(body, place)
             offset = start + len(records)
             records.append(record._replace(offset=offset))
         end, first = PAGE_HEADER.unpack_from(body)
@@ -318,7 +318,7 @@
         return data
 
 
-def _keyed(body: bytes, position: int) -> tuple[Record, int]:
+def _decode_record(body: bytes, position: int) -> tuple[Record, int]:
     """Reads the record at a place; returns it and the place after it."""
     if position + RECORD_LENGTH.size >= len(body):
         raise exceptions.RecordInvalid("a record is cut off")
