--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -214,9 +214,9 @@
         if len(body) < PAGE_HEADER.size:
             raise exceptions.RecordInvalid("a page without its offsets")
         records = []
-        place = PAGE_HEADER.size
-        while place < len(body):
-            record, place = _decode_record(body, place)
+        position = PAGE_HEADER.size
+        while position < len(body):
+            record, position = _decode_record(body, position)
             offset = start + len(records)
             records.append(record._replace(offset=offset))
         end, first = PAGE_HEADER.unpack_from(body)
