--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -239,7 +239,12 @@
         await self.call("POST", names.APPEND_PATH, query, data)
 
     async def join(
-        self, group: str, member: str, topic: str, life: float, generation: int
+        self,
+        group: str,
+        member: str,
+        topic: str,
+        session_timeout: float,
+        generation: int,
     ) -> Membership:
         """Joins a group or stays in it.
 
@@ -247,7 +252,7 @@
             group: The group.
             member: This member's name.
             topic: The topic whose partitions are shared out.
-            life: Seconds until a silent member is put out.
+            session_timeout: Seconds until a silent member is removed.
             generation: The last one received; 0 at first.
 
         Raises:
@@ -257,7 +262,7 @@
             "group": group,
             "member": member,
             "topics": [topic],
-            "ttlMs": int(life * 1000),
+            "ttlMs": int(session_timeout * 1000),
             "generation": generation,
         }
         body = await self.call("POST", names.JOIN_PATH, {}, request)
