--- a/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/leadership.py
@@ -119,7 +119,7 @@
         self.state.call_answered()
         self.joined = True
         self.generation = place.generation
-        holds = 0 in place.parts
+        holds = 0 in place.partitions
         self.valid_until = (
             sent + VALID_FRACTION * self.lease_seconds
             if holds
--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -59,7 +59,7 @@
     """
 
     generation: int
-    parts: frozenset[int]
+    partitions: frozenset[int]
 
 
 class HistoryLost(exceptions.PlatformError):
