--- a/bench/calls.py
+++ b/bench/calls.py
@@ -245,7 +245,7 @@
         times = asyncio.run(pair(fleet.nodes["entry-0"].url))
         for what, found in times.items():
             refused = PAIRS - len(found)
-            interval = 1000 * batches.INTERVAL
+            interval = 1000 * batches.APPEND_INTERVAL_SECONDS
             shape = (capacity, 10, "yes", interval, PAIRS, refused)
             rows.append(Row(what, *shape, *quantiles(found), 0.0))
     return rows
@@ -260,7 +260,7 @@
     try:
         fleet.start_platform()
         for capacity, load in itertools.product(CAPACITIES, LOADS):
-            for interval in (batches.INTERVAL, None):
+            for interval in (batches.APPEND_INTERVAL_SECONDS, None):
                 rows.append(measure(fleet, capacity, load, interval))
         for interval in INTERVALS:
             rows.append(measure(fleet, 400, 200, interval))
--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -18,7 +18,7 @@
 # batcher idle goes at once; so this adds latency under load only. Six nodes
 # make at most 300 appends a second, within "several hundred" with room for
 # the other streams (bench/RESULTS-calls.md).
-INTERVAL = 0.02
+APPEND_INTERVAL_SECONDS = 0.02
 # Seconds after a refused append, plus up to as much again at random, so
 # that six nodes do not return in step.
 BACKOFF = 0.05
@@ -67,7 +67,7 @@
         self,
         log: logs.Log,
         stream: str,
-        interval: float = INTERVAL,
+        interval: float = APPEND_INTERVAL_SECONDS,
         most: int = MOST_RECORDS,
     ):
         self.log = log
