--- a/bench/calls.py
+++ b/bench/calls.py
@@ -95,7 +95,7 @@
             except exceptions.LogUnavailable:
                 if time.monotonic() > end:
                     raise
-            pause = batches.BACKOFF * (1 + random.random())
+            pause = batches.BACKOFF_SECONDS * (1 + random.random())
             await asyncio.sleep(pause)
 
 
--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -21,7 +21,7 @@
 APPEND_INTERVAL_SECONDS = 0.02
 # Seconds after a refused append, plus up to as much again at random, so
 # that six nodes do not return in step.
-BACKOFF = 0.05
+BACKOFF_SECONDS = 0.05
 # Bytes of JSON around a batch and around each record in it, at the most.
 FRAME_BYTES = 64
 # Most records of one batch, so that no burst holds the event loop for long.
@@ -120,7 +120,7 @@
                 continue
             due = time.monotonic() + self.interval
             if not await self.send(batch):
-                await asyncio.sleep(BACKOFF * (1 + random.random()))
+                await asyncio.sleep(BACKOFF_SECONDS * (1 + random.random()))
             await asyncio.sleep(max(0.0, due - time.monotonic()))
 
     def next_batch(self) -> list[Item]:
