--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -25,7 +25,7 @@
 # Bytes of JSON around a batch and around each record in it, at the most.
 FRAME_BYTES = 64
 # Most records of one batch, so that no burst holds the event loop for long.
-MOST_RECORDS = 512
+MAX_BATCH_RECORDS = 512
 # Most records that wait; an outage must not fill the memory.
 MOST_WAITING = 20_000
 
@@ -68,7 +68,7 @@
         log: logs.Log,
         stream: str,
         interval: float = APPEND_INTERVAL_SECONDS,
-        most: int = MOST_RECORDS,
+        most: int = MAX_BATCH_RECORDS,
     ):
         self.log = log
         self.stream = stream
