--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -27,7 +27,7 @@
 # Most records of one batch, so that no burst holds the event loop for long.
 MAX_BATCH_RECORDS = 512
 # Most records that wait; an outage must not fill the memory.
-MOST_WAITING = 20_000
+MAX_WAITING = 20_000
 
 
 class Item:
@@ -83,7 +83,7 @@
         Raises:
             exceptions.LogUnavailable: Too many wait already.
         """
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.waiting) >= MAX_WAITING:
             raise exceptions.LogUnavailable("too many records wait")
         item = Item(record)
         self.waiting.append(item)
