--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -30,7 +30,7 @@
 MAX_WAITING = 20_000
 
 
-class Item:
+class PendingRecord:
     """One record on its way to the log.
 
     Attributes:
@@ -74,10 +74,10 @@
         self.stream = stream
         self.interval = interval
         self.most = most
-        self.waiting: collections.deque[Item] = collections.deque()
+        self.waiting: collections.deque[PendingRecord] = collections.deque()
         self.wake = asyncio.Event()
 
-    def post(self, record: tuple) -> Item:
+    def post(self, record: tuple) -> PendingRecord:
         """Appends a record as soon as the log takes it.
 
         Raises:
@@ -85,7 +85,7 @@
         """
         if len(self.waiting) >= MAX_WAITING:
             raise exceptions.LogUnavailable("too many records wait")
-        item = Item(record)
+        item = PendingRecord(record)
         self.waiting.append(item)
         self.wake.set()
         return item
@@ -123,7 +123,7 @@
                 await asyncio.sleep(BACKOFF_SECONDS * (1 + random.random()))
             await asyncio.sleep(max(0.0, due - time.monotonic()))
 
-    def next_batch(self) -> list[Item]:
+    def next_batch(self) -> list[PendingRecord]:
         """Takes the records of the next append; they stay in the queue."""
         kept = [item for item in self.waiting if not item.withdrawn]
         self.waiting = collections.deque(kept)
@@ -136,7 +136,7 @@
             batch.append(item)
         return batch
 
-    async def send(self, batch: list[Item]) -> bool:
+    async def send(self, batch: list[PendingRecord]) -> bool:
         """Makes one append and says whether it is known to be in effect."""
         for item in batch:
             item.flying = True
