--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -48,7 +48,7 @@
         self.future: asyncio.Future[int] = (
             asyncio.get_running_loop().create_future()
         )
-        self.flying = False
+        self.in_flight = False
         self.lost = False
         self.withdrawn = False
 
@@ -104,7 +104,7 @@
                 return await asyncio.shield(item.future)
         except TimeoutError as error:
             kind = exceptions.LogUnavailable
-            if item.flying or item.lost:
+            if item.in_flight or item.lost:
                 kind = exceptions.AppendUndetermined
             raise kind("the log did not take it in time") from error
         finally:
@@ -139,7 +139,7 @@
     async def send(self, batch: list[PendingRecord]) -> bool:
         """Makes one append and says whether it is known to be in effect."""
         for item in batch:
-            item.flying = True
+            item.in_flight = True
         try:
             offset = await self.log.append(
                 self.stream, [item.record for item in batch]
@@ -152,7 +152,7 @@
             return False
         finally:
             for item in batch:
-                item.flying = False
+                item.in_flight = False
         for item in batch:
             self.waiting.popleft()
             if not item.future.done():
