--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -49,7 +49,7 @@
             asyncio.get_running_loop().create_future()
         )
         self.in_flight = False
-        self.lost = False
+        self.answer_lost = False
         self.withdrawn = False
 
 
@@ -104,7 +104,7 @@
                 return await asyncio.shield(item.future)
         except TimeoutError as error:
             kind = exceptions.LogUnavailable
-            if item.in_flight or item.lost:
+            if item.in_flight or item.answer_lost:
                 kind = exceptions.AppendUndetermined
             raise kind("the log did not take it in time") from error
         finally:
@@ -148,7 +148,7 @@
             return False
         except exceptions.AppendUndetermined:
             for item in batch:
-                item.lost = True
+                item.answer_lost = True
             return False
         finally:
             for item in batch:
