--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -73,7 +73,7 @@
         self.log = log
         self.stream = stream
         self.interval = interval
-        self.most = most
+        self.max_records = most
         self.waiting: collections.deque[PendingRecord] = collections.deque()
         self.wake = asyncio.Event()
 
@@ -129,7 +129,7 @@
         self.waiting = collections.deque(kept)
         batch = []
         size = FRAME_BYTES
-        for item in kept[: self.most]:
+        for item in kept[: self.max_records]:
             size += item.size
             if size > records.BATCH_BYTES and batch:
                 break
