--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -68,12 +68,12 @@
         log: logs.Log,
         stream: str,
         interval: float = APPEND_INTERVAL_SECONDS,
-        most: int = MAX_BATCH_RECORDS,
+        max_records: int = MAX_BATCH_RECORDS,
     ):
         self.log = log
         self.stream = stream
         self.interval = interval
-        self.max_records = most
+        self.max_records = max_records
         self.waiting: collections.deque[PendingRecord] = collections.deque()
         self.wake = asyncio.Event()
 
