--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -90,7 +90,7 @@
         self.wake.set()
         return item
 
-    async def append(self, record: tuple, patience: float) -> int:
+    async def append(self, record: tuple, timeout: float) -> int:
         """Appends a record within some seconds and returns its offset.
 
         Raises:
@@ -100,7 +100,7 @@
         item = self.post(record)
         try:
             # Not wait_for: Python 3.11's may lose a cancellation.
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout):
                 return await asyncio.shield(item.future)
         except TimeoutError as error:
             kind = exceptions.LogUnavailable
