--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -159,8 +159,8 @@
                 item.future.set_result(offset)
         return True
 
-    async def flush(self, patience: float) -> None:
+    async def flush(self, timeout: float) -> None:
         """Waits until nothing is left to append, some seconds at most."""
         left = [i.future for i in self.waiting if not i.withdrawn]
         if left:
-            await asyncio.wait(left, timeout=patience)
+            await asyncio.wait(left, timeout=timeout)
