--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -161,6 +161,6 @@
 
     async def flush(self, timeout: float) -> None:
         """Waits until nothing is left to append, some seconds at most."""
-        left = [i.future for i in self.waiting if not i.withdrawn]
-        if left:
-            await asyncio.wait(left, timeout=timeout)
+        pending = [i.future for i in self.waiting if not i.withdrawn]
+        if pending:
+            await asyncio.wait(pending, timeout=timeout)
