--- a/bench/calls.py
+++ b/bench/calls.py
@@ -70,7 +70,7 @@
         self.log = log
         self.tasks: set[asyncio.Task] = set()
 
-    def post(self, record: tuple) -> None:
+    def enqueue(self, record: tuple) -> None:
         """Appends a record without waiting for it."""
         task = asyncio.create_task(self.keep(record))
         self.tasks.add(task)
@@ -86,9 +86,9 @@
         for task in self.tasks:
             task.cancel()
 
-    async def append(self, record: tuple, patience: float) -> int:
+    async def append(self, record: tuple, timeout: float) -> int:
         """Appends a record, again while the log is over its rate."""
-        end = time.monotonic() + patience
+        end = time.monotonic() + timeout
         while True:
             try:
                 return await self.log.append(records.CLAIMS, [record])
@@ -131,7 +131,7 @@
         assert self.claims.step(claim, True) == claims.Step.DISPATCH
         seconds = time.perf_counter() - began
         outcome = claims.Outcome(*claim[:3], "complete", body=b"x" * 200)
-        self.appender.post(outcome)
+        self.appender.enqueue(outcome)
         return seconds
 
     async def close(self) -> None:
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -252,7 +252,7 @@
     def post(self, record: tuple) -> None:
         """Appends a record when the log takes it."""
         try:
-            self.batcher.post(record)
+            self.batcher.enqueue(record)
         except exceptions.LogUnavailable as error:
             events.log(events.CLAIM_RECORD_LOST, reason=str(error))
 
--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -77,7 +77,7 @@
         self.waiting: collections.deque[PendingRecord] = collections.deque()
         self.wake = asyncio.Event()
 
-    def post(self, record: tuple) -> PendingRecord:
+    def enqueue(self, record: tuple) -> PendingRecord:
         """Appends a record as soon as the log takes it.
 
         Raises:
@@ -97,7 +97,7 @@
             exceptions.LogUnavailable: It was not appended and will not be.
             exceptions.AppendUndetermined: It may have been appended.
         """
-        item = self.post(record)
+        item = self.enqueue(record)
         try:
             # Not wait_for: Python 3.11's may lose a cancellation.
             async with asyncio.timeout(timeout):
