--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -55,7 +55,9 @@
         self.tail = logs.Tail(
             node.log,
             records.CONTROL,
-            wait=min(logs.READ_WAIT, settings.control.permission / READS),
+            wait=min(
+                logs.READ_WAIT_SECONDS, settings.control.permission / READS
+            ),
         )
         self.permissions = permissions_module.Permissions(
             settings.control, self.books
--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -18,7 +18,7 @@
 
 # Seconds for which a read may wait at the log for the next record; below
 # the client's time limit (settings.platform.timeout, 2 s by default).
-READ_WAIT = 1.0
+READ_WAIT_SECONDS = 1.0
 # Seconds between two tries to read a log that is down, plus up to as much
 # again at random, so that six nodes do not return in step.
 READ_RETRY = 0.25
@@ -176,7 +176,7 @@
         log: Log,
         stream: str,
         start: int = 0,
-        wait: float = READ_WAIT,
+        wait: float = READ_WAIT_SECONDS,
     ):
         self.log = log
         self.stream = stream
