--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -21,7 +21,7 @@
 READ_WAIT_SECONDS = 1.0
 # Seconds between two tries to read a log that is down, plus up to as much
 # again at random, so that six nodes do not return in step.
-READ_RETRY = 0.25
+READ_RETRY_SECONDS = 0.25
 
 
 class Page(NamedTuple):
@@ -222,7 +222,7 @@
                 page = await self.log.read(self.stream, self.next, wait)
             except exceptions.LogUnavailable as error:
                 self.set_health(False, repr(error))
-                await asyncio.sleep(READ_RETRY * (1 + random.random()))
+                await asyncio.sleep(READ_RETRY_SECONDS * (1 + random.random()))
                 continue
             # An answer that was read after a pause of this process may be
             # old, but not older than its question.
