--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -130,11 +130,11 @@
             raise exceptions.LogUnavailable(repr(error)) from error
         except msgspec.DecodeError as error:
             raise exceptions.LogUnavailable(str(error)) from error
-        entries = [entry_of(stream, wire) for wire in page.entries]
+        entries = [decode_entry(stream, wire) for wire in page.entries]
         return Page(page.first, page.end, tuple(entries))
 
 
-def entry_of(stream: str, wire: _WireEntry) -> records.Entry:
+def decode_entry(stream: str, wire: _WireEntry) -> records.Entry:
     """Decodes an entry; one that cannot be read counts as empty.
 
     All nodes skip it alike. To wait for it instead would stall the stream
