--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -180,7 +180,7 @@
     ):
         self.log = log
         self.stream = stream
-        self.next = start
+        self.next_offset = start
         self.wait = wait
         self.caught_up = asyncio.Event()
         self.healthy = False
@@ -210,7 +210,7 @@
     async def reached(self, offset: int) -> None:
         """Waits until the entry at an offset was handed out."""
         async with self.moved:
-            await self.moved.wait_for(lambda: self.next > offset)
+            await self.moved.wait_for(lambda: self.next_offset > offset)
 
     async def run(self) -> None:
         """Reads for as long as the node runs."""
@@ -219,7 +219,7 @@
             wait = self.wait if self.caught_up.is_set() else 0.0
             asked = clocks.now()
             try:
-                page = await self.log.read(self.stream, self.next, wait)
+                page = await self.log.read(self.stream, self.next_offset, wait)
             except exceptions.LogUnavailable as error:
                 self.set_health(False, repr(error))
                 await asyncio.sleep(READ_RETRY_SECONDS * (1 + random.random()))
@@ -229,7 +229,7 @@
             self.heard = asked
             self.set_health(True, "")
             await self.deliver(page)
-            if self.next < page.end:
+            if self.next_offset < page.end:
                 continue
             for end in self.ends:
                 end(asked)
@@ -237,17 +237,17 @@
     async def deliver(self, page: Page) -> None:
         """Hands a page's entries out and wakes those who wait for them."""
         self.end = page.end
-        if page.first > self.next:
+        if page.first > self.next_offset:
             for gap in self.gaps:
-                gap(self.next, page.first)
-            self.next = page.first
+                gap(self.next_offset, page.first)
+            self.next_offset = page.first
         for entry in page.entries:
-            if entry.offset < self.next:
+            if entry.offset < self.next_offset:
                 continue
             for subscriber in self.subscribers:
                 subscriber(entry)
-            self.next = entry.offset + 1
-        if self.next >= page.end:
+            self.next_offset = entry.offset + 1
+        if self.next_offset >= page.end:
             self.caught_up.set()
         if page.entries or page.first:
             async with self.moved:
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -124,7 +124,7 @@
             exceptions.PlatformError: The log cannot be read.
         """
         log = self.publisher.log
-        page = await log.read(records.CONFIG, self.tail.next, 0.0)
+        page = await log.read(records.CONFIG, self.tail.next_offset, 0.0)
         start = page.end
         for _ in range(SEEK_PAGES):
             start -= LOG_PAGE
@@ -134,7 +134,7 @@
             for entry in found.entries:
                 self.configuration.apply(entry)
             if self.configuration.position >= start:
-                self.tail.next = self.configuration.position + 1
+                self.tail.next_offset = self.configuration.position + 1
                 return
 
     async def run_pulls(self) -> None:
@@ -163,7 +163,7 @@
 
     def sources(self) -> list[str]:
         """Lists the peers that know what this node does not."""
-        gap = self.configuration.position < self.tail.next - 1
+        gap = self.configuration.position < self.tail.next_offset - 1
         found = []
         for peer in self.peers.known():
             if peer.revision < 0:
