--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -391,7 +391,7 @@
         task = asyncio.create_task(tail.run())
         await tail.caught_up.wait()
         task.cancel()
-        assert tail.heard <= log.asked, (tail.heard, log.asked)
+        assert tail.last_seen <= log.asked, (tail.last_seen, log.asked)
 
     asyncio.run(run())
 
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -188,7 +188,7 @@
 
     def readable(self) -> bool:
         """Whether the window was read and the log is not known to be down."""
-        silence = asyncio.get_running_loop().time() - self.tail.heard
+        silence = asyncio.get_running_loop().time() - self.tail.last_seen
         up = self.tail.healthy or silence < LOG_SILENCE
         return up and self.tail.caught_up.is_set()
 
--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -184,7 +184,7 @@
         self.wait = wait
         self.caught_up = asyncio.Event()
         self.healthy = False
-        self.heard = 0.0
+        self.last_seen = 0.0
         self.end = 0
         self.subscribers: list[Callable[[records.Entry], Any]] = []
         self.gaps: list[Callable[[int, int], Any]] = []
@@ -226,7 +226,7 @@
                 continue
             # An answer that was read after a pause of this process may be
             # old, but not older than its question.
-            self.heard = asked
+            self.last_seen = asked
             self.set_health(True, "")
             await self.deliver(page)
             if self.next_offset < page.end:
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -155,7 +155,7 @@
         view = config_freshness_module.View(
             self.configuration.revision,
             self.log_read(),
-            self.tail.heard or None,
+            self.tail.last_seen or None,
             tuple(peers),
         )
         self.looked = clocks.now()
