--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -189,7 +189,7 @@
         self.subscribers: list[Callable[[records.Entry], Any]] = []
         self.gaps: list[Callable[[int, int], Any]] = []
         self.ends: list[Callable[[float], Any]] = []
-        self.moved = asyncio.Condition()
+        self.advanced = asyncio.Condition()
 
     def subscribe(
         self,
@@ -209,8 +209,8 @@
 
     async def reached(self, offset: int) -> None:
         """Waits until the entry at an offset was handed out."""
-        async with self.moved:
-            await self.moved.wait_for(lambda: self.next_offset > offset)
+        async with self.advanced:
+            await self.advanced.wait_for(lambda: self.next_offset > offset)
 
     async def run(self) -> None:
         """Reads for as long as the node runs."""
@@ -250,8 +250,8 @@
         if self.next_offset >= page.end:
             self.caught_up.set()
         if page.entries or page.first:
-            async with self.moved:
-                self.moved.notify_all()
+            async with self.advanced:
+                self.advanced.notify_all()
 
     def set_health(self, healthy: bool, reason: str) -> None:
         """Notes whether the log answers, with an event at each turn."""
