--- a/bench/calls.py
+++ b/bench/calls.py
@@ -127,7 +127,7 @@
             offset = await self.appender.append(claim, PATIENCE)
         except (exceptions.LogUnavailable, exceptions.AppendUndetermined):
             return None
-        await self.tail.reached(offset)
+        await self.tail.wait_until_delivered(offset)
         assert self.claims.step(claim, True) == claims.Step.DISPATCH
         seconds = time.perf_counter() - began
         outcome = claims.Outcome(*claim[:3], "complete", body=b"x" * 200)
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -178,7 +178,7 @@
             offset = await self.batcher.append(attempt.claim, patience)
             attempt.claimed = True
             async with asyncio.timeout(patience):
-                await self.tail.reached(offset)
+                await self.tail.wait_until_delivered(offset)
         except exceptions.LogUnavailable as error:
             raise refusals.unclaimed("the log takes no claim") from error
         except (exceptions.AppendUndetermined, TimeoutError) as error:
--- a/packages/gypsumfold/src/gypsumfold/control/journal.py
+++ b/packages/gypsumfold/src/gypsumfold/control/journal.py
@@ -41,7 +41,7 @@
         try:
             offset = await self.log.append(platform_records.CONTROL, [record])
             async with asyncio.timeout(self.settings.timeout):
-                await self.tail.reached(offset)
+                await self.tail.wait_until_delivered(offset)
         except (exceptions.PlatformError, TimeoutError):
             return False
         return True
--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -207,7 +207,7 @@
         if gap is not None:
             self.gaps.append(gap)
 
-    async def reached(self, offset: int) -> None:
+    async def wait_until_delivered(self, offset: int) -> None:
         """Waits until the entry at an offset was handed out."""
         async with self.advanced:
             await self.advanced.wait_for(lambda: self.next_offset > offset)
