--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -187,7 +187,7 @@
         self.last_seen = 0.0
         self.end = 0
         self.subscribers: list[Callable[[records.Entry], Any]] = []
-        self.gaps: list[Callable[[int, int], Any]] = []
+        self.gap_listeners: list[Callable[[int, int], Any]] = []
         self.ends: list[Callable[[float], Any]] = []
         self.advanced = asyncio.Condition()
 
@@ -205,7 +205,7 @@
         """
         self.subscribers.append(entry)
         if gap is not None:
-            self.gaps.append(gap)
+            self.gap_listeners.append(gap)
 
     async def wait_until_delivered(self, offset: int) -> None:
         """Waits until the entry at an offset was handed out."""
@@ -238,7 +238,7 @@
         """Hands a page's entries out and wakes those who wait for them."""
         self.end = page.end
         if page.first > self.next_offset:
-            for gap in self.gaps:
+            for gap in self.gap_listeners:
                 gap(self.next_offset, page.first)
             self.next_offset = page.first
         for entry in page.entries:
