--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -63,7 +63,7 @@
             settings.control, self.books
         )
         self.tail.subscribe(self.books.apply, self.gap)
-        self.tail.ends.append(self.at_end)
+        self.tail.end_listeners.append(self.at_end)
         self.books.listeners.append(self.read)
         self.journal = journal_module.Journal(
             node.log, self.tail, settings.platform
--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -188,7 +188,7 @@
         self.end = 0
         self.subscribers: list[Callable[[records.Entry], Any]] = []
         self.gap_listeners: list[Callable[[int, int], Any]] = []
-        self.ends: list[Callable[[float], Any]] = []
+        self.end_listeners: list[Callable[[float], Any]] = []
         self.advanced = asyncio.Condition()
 
     def subscribe(
@@ -231,7 +231,7 @@
             await self.deliver(page)
             if self.next_offset < page.end:
                 continue
-            for end in self.ends:
+            for end in self.end_listeners:
                 end(asked)
 
     async def deliver(self, page: Page) -> None:
