--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -131,7 +131,7 @@
         size = FRAME_BYTES
         for item in kept[: self.max_records]:
             size += item.size
-            if size > records.BATCH_BYTES and batch:
+            if size > records.MAX_BATCH_BYTES and batch:
                 break
             batch.append(item)
         return batch
--- a/packages/gypsumfold/src/gypsumfold/logservice/records.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/records.py
@@ -19,7 +19,7 @@
 
 # One append carries one batch. The log service refuses larger ones; it is
 # declared in the platform's interface (docs/PROTOCOLS.md).
-BATCH_BYTES = 256 * 1024
+MAX_BATCH_BYTES = 256 * 1024
 
 Record = TypeVar("Record", bound=type[tuple])
 
--- a/packages/gypsumfold/src/gypsumfold/operators/publishing.py
+++ b/packages/gypsumfold/src/gypsumfold/operators/publishing.py
@@ -32,9 +32,9 @@
             or not of this hour.
     """
     change_id = change.change_id
-    if len(records.encode([change])) > records.BATCH_BYTES - MARGIN:
+    if len(records.encode([change])) > records.MAX_BATCH_BYTES - MARGIN:
         raise exceptions.ChangeRejected(
-            f"the change is larger than {records.BATCH_BYTES} bytes; "
+            f"the change is larger than {records.MAX_BATCH_BYTES} bytes; "
             "apply it in several"
         )
     now = time.time()
