--- a/packages/gypsumfold/src/gypsumfold/logservice/records.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/records.py
@@ -23,7 +23,7 @@
 
 Record = TypeVar("Record", bound=type[tuple])
 
-KINDS: dict[str, type] = {}
+TYPES_BY_KIND: dict[str, type] = {}
 NAMES: dict[type, str] = {}
 
 
@@ -54,8 +54,8 @@
     """
 
     def decorate(record: Record) -> Record:
-        assert kind not in KINDS, kind
-        KINDS[kind] = record
+        assert kind not in TYPES_BY_KIND, kind
+        TYPES_BY_KIND[kind] = record
         NAMES[record] = kind
         return record
 
@@ -91,9 +91,9 @@
         for kind, raw in msgspec.json.decode(
             body, type=list[tuple[str, msgspec.Raw]]
         ):
-            if kind not in KINDS:
+            if kind not in TYPES_BY_KIND:
                 continue
-            found.append(msgspec.json.decode(raw, type=KINDS[kind]))
+            found.append(msgspec.json.decode(raw, type=TYPES_BY_KIND[kind]))
     except (msgspec.DecodeError, UnicodeDecodeError) as error:
         raise exceptions.RecordInvalid(str(error)) from error
     return tuple(found)
