--- a/packages/gypsumfold/src/gypsumfold/logservice/records.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/records.py
@@ -24,7 +24,7 @@
 Record = TypeVar("Record", bound=type[tuple])
 
 TYPES_BY_KIND: dict[str, type] = {}
-NAMES: dict[type, str] = {}
+KINDS_BY_TYPE: dict[type, str] = {}
 
 
 class Entry(NamedTuple):
@@ -56,7 +56,7 @@
     def decorate(record: Record) -> Record:
         assert kind not in TYPES_BY_KIND, kind
         TYPES_BY_KIND[kind] = record
-        NAMES[record] = kind
+        KINDS_BY_TYPE[record] = kind
         return record
 
     return decorate
@@ -71,7 +71,7 @@
     Returns:
         JSON.
     """
-    return msgspec.json.encode([(NAMES[type(r)], r) for r in records])
+    return msgspec.json.encode([(KINDS_BY_TYPE[type(r)], r) for r in records])
 
 
 def decode(body: bytes) -> tuple[Any, ...]:
