--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -32,12 +32,12 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        sealer: framing.Signer,
+        signer: framing.Signer,
         opener: framing.Signer,
     ):
         self.reader = reader
         self.writer = writer
-        self.sealer = sealer
+        self.sealer = signer
         self.opener = opener
         self.numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future] = {}
