--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -33,12 +33,12 @@
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         signer: framing.Signer,
-        opener: framing.Signer,
+        verifier: framing.Signer,
     ):
         self.reader = reader
         self.writer = writer
         self.sealer = signer
-        self.opener = opener
+        self.opener = verifier
         self.numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future] = {}
         self.closed = False
