--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -37,7 +37,7 @@
     ):
         self.reader = reader
         self.writer = writer
-        self.sealer = signer
+        self.signer = signer
         self.opener = verifier
         self.numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future] = {}
@@ -98,7 +98,7 @@
     def send(self, envelope) -> None:
         """Writes one envelope."""
         payload = framing.encode(envelope)
-        self.writer.write(self.sealer.seal(payload))
+        self.writer.write(self.signer.seal(payload))
 
     async def receive(self, limit: int):
         """Reads one envelope.
