--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -38,7 +38,7 @@
         self.reader = reader
         self.writer = writer
         self.signer = signer
-        self.opener = verifier
+        self.verifier = verifier
         self.numbers = itertools.count(1)
         self.pending: dict[int, asyncio.Future] = {}
         self.closed = False
@@ -113,7 +113,7 @@
             body = await self.reader.readexactly(length)
         except (OSError, asyncio.IncompleteReadError) as error:
             raise exceptions.PeerUnreachable(repr(error)) from error
-        payload = self.opener.open(body)
+        payload = self.verifier.open(body)
         return framing.decode(thrift.Envelope, payload)
 
     async def call(
