--- a/features/steps/cancellation_steps.py
+++ b/features/steps/cancellation_steps.py
@@ -16,7 +16,7 @@
     """Whether a call's cancellation survives a reply in the same instant."""
     channel = types.SimpleNamespace(
         closed=False,
-        numbers=itertools.count(),
+        call_ids=itertools.count(),
         pending={},
         send=lambda envelope: None,
     )
--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -39,7 +39,7 @@
         self.writer = writer
         self.signer = signer
         self.verifier = verifier
-        self.numbers = itertools.count(1)
+        self.call_ids = itertools.count(1)
         self.pending: dict[int, asyncio.Future] = {}
         self.closed = False
 
@@ -133,7 +133,7 @@
         """
         if self.closed:
             raise exceptions.PeerUnreachable("the connection is closed")
-        number = next(self.numbers)
+        number = next(self.call_ids)
         future = asyncio.get_running_loop().create_future()
         self.pending[number] = future
         body = framing.encode(message)
