--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -133,11 +133,11 @@
         """
         if self.closed:
             raise exceptions.PeerUnreachable("the connection is closed")
-        number = next(self.call_ids)
+        call_id = next(self.call_ids)
         future = asyncio.get_running_loop().create_future()
-        self.pending[number] = future
+        self.pending[call_id] = future
         body = framing.encode(message)
-        self.send(thrift.Envelope(number, thrift.Kind.CALL, name, body))
+        self.send(thrift.Envelope(call_id, thrift.Kind.CALL, name, body))
         try:
             # Python 3.11's wait_for drops a cancellation that comes in the
             # same instant as the reply (python/cpython issue 86296).
@@ -146,7 +146,7 @@
         except TimeoutError as error:
             raise exceptions.PeerUnreachable("no reply in time") from error
         finally:
-            self.pending.pop(number, None)
+            self.pending.pop(call_id, None)
         if envelope.kind == thrift.Kind.FAILURE:
             raise exceptions.PeerRefused(envelope.name)
         return framing.decode(reply_type, envelope.body)
