--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -66,7 +66,7 @@
                     ssl=context,
                     local_addr=(local, 0) if local else None,
                 )
-                guard(writer)
+                enable_keepalive(writer)
                 nonce = await reader.readexactly(framing.NONCE_BYTES)
         except (OSError, TimeoutError, asyncio.IncompleteReadError) as error:
             raise exceptions.PeerUnreachable(repr(error)) from error
@@ -85,7 +85,7 @@
         secret: bytes,
     ) -> "Channel":
         """Takes a connection in and sends its nonce."""
-        guard(writer)
+        enable_keepalive(writer)
         nonce = secrets.token_bytes(framing.NONCE_BYTES)
         writer.write(nonce)
         return cls(
@@ -208,6 +208,6 @@
                 )
 
 
-def guard(writer: asyncio.StreamWriter) -> None:
+def enable_keepalive(writer: asyncio.StreamWriter) -> None:
     """Sets keepalive and the user timeout on a connection."""
     connections.guard(writer.get_extra_info("socket"))
