--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -55,9 +55,9 @@
     if kind == "a frame of 4 GiB":
         return b"\xff\xff\xff\xff" + HOSTILE
     if kind == "a frame with a wrong HMAC":
-        return framing.Signer(b"x" * 16, nonce, b"c").seal(HOSTILE)
+        return framing.Signer(b"x" * 16, nonce, b"c").make_frame(HOSTILE)
     other = framing.Signer(SECRET, bytes(framing.NONCE_BYTES), b"c")
-    return other.seal(HOSTILE)
+    return other.make_frame(HOSTILE)
 
 
 @behave.when("a stranger sends {kind} to a node's port for peers")
@@ -130,7 +130,7 @@
     )
     def check(payload, place, change):
         sender, receiver = signers()
-        body = bytearray(sender.seal(payload)[4:])
+        body = bytearray(sender.make_frame(payload)[4:])
         body[place % len(body)] ^= change
         assert is_refused(receiver, bytes(body))
 
@@ -148,7 +148,7 @@
     )
     def check(payloads, random):
         sender, receiver = signers()
-        bodies = list(enumerate(sender.seal(p)[4:] for p in payloads))
+        bodies = list(enumerate(sender.make_frame(p)[4:] for p in payloads))
         random.shuffle(bodies)
         for expected, (number, body) in enumerate(bodies):
             if number == expected:
--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -98,7 +98,7 @@
     def send(self, envelope) -> None:
         """Writes one envelope."""
         payload = framing.encode(envelope)
-        self.writer.write(self.signer.seal(payload))
+        self.writer.write(self.signer.make_frame(payload))
 
     async def receive(self, limit: int):
         """Reads one envelope.
--- a/packages/gypsumfold/src/gypsumfold/peers/framing.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/framing.py
@@ -62,7 +62,7 @@
         self.sequence += 1
         return digest
 
-    def seal(self, payload: bytes) -> bytes:
+    def make_frame(self, payload: bytes) -> bytes:
         """Makes a frame of a payload."""
         body = self.mac(payload) + payload
         return _LENGTH.pack(len(body)) + body
