--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -114,7 +114,7 @@
 
 def is_refused(receiver, body):
     try:
-        receiver.open(body)
+        receiver.verify(body)
     except exceptions.FrameInvalid:
         return True
     return False
@@ -152,7 +152,7 @@
         random.shuffle(bodies)
         for expected, (number, body) in enumerate(bodies):
             if number == expected:
-                receiver.open(body)
+                receiver.verify(body)
                 continue
             assert is_refused(receiver, body)
             break
--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -113,7 +113,7 @@
             body = await self.reader.readexactly(length)
         except (OSError, asyncio.IncompleteReadError) as error:
             raise exceptions.PeerUnreachable(repr(error)) from error
-        payload = self.verifier.open(body)
+        payload = self.verifier.verify(body)
         return framing.decode(thrift.Envelope, payload)
 
     async def call(
--- a/packages/gypsumfold/src/gypsumfold/peers/framing.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/framing.py
@@ -67,7 +67,7 @@
         body = self.mac(payload) + payload
         return _LENGTH.pack(len(body)) + body
 
-    def open(self, body: bytes) -> bytes:
+    def verify(self, body: bytes) -> bytes:
         """Checks a frame, without its length, and returns its payload.
 
         Raises:
