--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -109,7 +109,7 @@
         """
         try:
             header = await self.reader.readexactly(4)
-            length = framing.length_of(header, limit)
+            length = framing.parse_length(header, limit)
             body = await self.reader.readexactly(length)
         except (OSError, asyncio.IncompleteReadError) as error:
             raise exceptions.PeerUnreachable(repr(error)) from error
--- a/packages/gypsumfold/src/gypsumfold/peers/framing.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/framing.py
@@ -80,7 +80,7 @@
         return payload
 
 
-def length_of(header: bytes, limit: int) -> int:
+def parse_length(header: bytes, limit: int) -> int:
     """Reads a frame's length.
 
     Args:
