--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -187,7 +187,7 @@
 
         try:
             while True:
-                envelope = await self.receive(framing.CALL_LIMIT)
+                envelope = await self.receive(framing.MAX_CALL_BYTES)
                 await slots.acquire()
                 task = asyncio.create_task(reply(envelope))
                 running.add(task)
--- a/packages/gypsumfold/src/gypsumfold/peers/framing.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/framing.py
@@ -27,7 +27,7 @@
 MAC_BYTES = hashlib.sha256().digest_size
 # Largest frame in bytes. Calls are small; replies carry configuration, of
 # which one batch on the log has 256 KiB at the most.
-CALL_LIMIT = 64 * 1024
+MAX_CALL_BYTES = 64 * 1024
 REPLY_LIMIT = 1024 * 1024
 
 _PROTOCOL = TBinaryProtocolFactory()
