--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -159,7 +159,7 @@
         """
         try:
             while True:
-                envelope = await self.receive(framing.REPLY_LIMIT)
+                envelope = await self.receive(framing.MAX_REPLY_BYTES)
                 future = self.pending.get(envelope.call)
                 if future is None or future.done():
                     continue
--- a/packages/gypsumfold/src/gypsumfold/peers/framing.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/framing.py
@@ -28,7 +28,7 @@
 # Largest frame in bytes. Calls are small; replies carry configuration, of
 # which one batch on the log has 256 KiB at the most.
 MAX_CALL_BYTES = 64 * 1024
-REPLY_LIMIT = 1024 * 1024
+MAX_REPLY_BYTES = 1024 * 1024
 
 _PROTOCOL = TBinaryProtocolFactory()
 _LENGTH = struct.Struct(">I")
