--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -19,7 +19,7 @@
 
 # Heartbeats without a reply until a fresh connection is tried, as a
 # multiple of the interval; one lost packet is retransmitted within it.
-MISSED = 3
+MAX_MISSED_HEARTBEATS = 3
 
 
 class Peer(NamedTuple):
@@ -104,7 +104,10 @@
 
     def known(self) -> list[Peer]:
         """Lists the peers that were heard of within the last intervals."""
-        horizon = time.monotonic() - 2 * MISSED * self.settings.heartbeat
+        horizon = (
+            time.monotonic()
+            - 2 * MAX_MISSED_HEARTBEATS * self.settings.heartbeat
+        )
         return [p for p in self.heard.values() if p.heard >= horizon]
 
     async def call(
@@ -182,7 +185,7 @@
     @property
     def patience(self) -> float:
         """Seconds without a reply until a connection is given up."""
-        return MISSED * self.settings.heartbeat
+        return MAX_MISSED_HEARTBEATS * self.settings.heartbeat
 
     async def converse(self, address: str, channel: channels.Channel) -> None:
         """Sends heartbeats on a connection until it fails."""
