--- a/packages/gypsumfold/src/gypsumfold/operators/live.py
+++ b/packages/gypsumfold/src/gypsumfold/operators/live.py
@@ -98,7 +98,7 @@
                 peer.incarnation,
                 peer.revision,
                 peer.stopping,
-                round(now - peer.heard, 3),
+                round(now - peer.last_seen, 3),
             )
         )
     return rows
--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -44,7 +44,7 @@
     data_centre: str
     revision: int
     stopping: bool
-    heard: float
+    last_seen: float
     answered: float = 0.0
 
 
@@ -108,7 +108,7 @@
             time.monotonic()
             - 2 * MAX_MISSED_HEARTBEATS * self.settings.heartbeat
         )
-        return [p for p in self.heard.values() if p.heard >= horizon]
+        return [p for p in self.heard.values() if p.last_seen >= horizon]
 
     async def call(
         self,
