--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -408,7 +408,7 @@
     beat = links.thrift.Heartbeat("b", "b-1", "127.0.0.2", "n", 5, False)
     asyncio.run(peers.on_heartbeat(beat, "127.0.0.2"))
     (peer,) = peers.known()
-    assert peer.answered == 0.0, peer
+    assert peer.last_answered == 0.0, peer
     peers.note(beat, answered=7.0)
     (peer,) = peers.known()
-    assert peer.answered == 7.0, peer
+    assert peer.last_answered == 7.0, peer
--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -45,7 +45,7 @@
     revision: int
     stopping: bool
     last_seen: float
-    answered: float = 0.0
+    last_answered: float = 0.0
 
 
 class _Handler(NamedTuple):
@@ -218,7 +218,7 @@
         before = self.heard.get(message.address)
         if before and before.incarnation == message.incarnation:
             revision = max(revision, before.revision)
-            answered = max(answered, before.answered)
+            answered = max(answered, before.last_answered)
         self.heard[message.address] = Peer(
             message.address,
             message.node,
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -150,7 +150,9 @@
         peers = []
         for peer in self.peers.known():
             peers.append(
-                config_freshness_module.PeerView(peer.revision, peer.answered)
+                config_freshness_module.PeerView(
+                    peer.revision, peer.last_answered
+                )
             )
         view = config_freshness_module.View(
             self.configuration.revision,
