--- a/packages/gypsumfold/src/gypsumfold/control/evidence.py
+++ b/packages/gypsumfold/src/gypsumfold/control/evidence.py
@@ -40,7 +40,7 @@
         """Says what shows that a holder is gone; empty if nothing does."""
         self.watch()
         known = [(self.identity.address, self.identity.incarnation)]
-        for peer in self.peers.heard.values():
+        for peer in self.peers.by_address.values():
             known.append((peer.address, peer.incarnation))
         for address, incarnation in known:
             same = address == holder.address
--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -80,7 +80,7 @@
         self.handlers: dict[str, _Handler] = {}
         self.links: dict[str, asyncio.Task] = {}
         self.channels: dict[str, channels.Channel] = {}
-        self.heard: dict[str, Peer] = {}
+        self.by_address: dict[str, Peer] = {}
         self.server: asyncio.Server | None = None
         self.accepted: set[asyncio.Task] = set()
         self.serving = 0
@@ -108,7 +108,7 @@
             time.monotonic()
             - 2 * MAX_MISSED_HEARTBEATS * self.settings.heartbeat
         )
-        return [p for p in self.heard.values() if p.last_seen >= horizon]
+        return [p for p in self.by_address.values() if p.last_seen >= horizon]
 
     async def call(
         self,
@@ -157,7 +157,7 @@
             if address in wanted:
                 continue
             self.links.pop(address).cancel()
-            self.heard.pop(address, None)
+            self.by_address.pop(address, None)
         for address in wanted:
             if address in self.links:
                 continue
@@ -215,11 +215,11 @@
     def note(self, message, answered: float = 0.0) -> None:
         """Takes in what a peer says of itself, in the order it said it."""
         revision = message.revision
-        before = self.heard.get(message.address)
+        before = self.by_address.get(message.address)
         if before and before.incarnation == message.incarnation:
             revision = max(revision, before.revision)
             answered = max(answered, before.last_answered)
-        self.heard[message.address] = Peer(
+        self.by_address[message.address] = Peer(
             message.address,
             message.node,
             message.incarnation,
