--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -407,8 +407,8 @@
     peers = links.Peers(settings, lambda: None)
     beat = links.thrift.Heartbeat("b", "b-1", "127.0.0.2", "n", 5, False)
     asyncio.run(peers.on_heartbeat(beat, "127.0.0.2"))
-    (peer,) = peers.known()
+    (peer,) = peers.recently_seen()
     assert peer.last_answered == 0.0, peer
     peers.note(beat, answered=7.0)
-    (peer,) = peers.known()
+    (peer,) = peers.recently_seen()
     assert peer.last_answered == 7.0, peer
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -288,7 +288,7 @@
     async def ask(self, winner: str, attempt: Attempt):
         """Asks the node that made a claim; None where it does not answer."""
         incarnation = claims_module.incarnation_of(winner)
-        for peer in self.node.peers.known():
+        for peer in self.node.peers.recently_seen():
             if peer.incarnation != incarnation:
                 continue
             question = thrift.ClaimQuestion(winner, *attempt.place)
--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -61,7 +61,7 @@
         """Sends a digest each round."""
         while True:
             message = self.message()
-            known = [peer.address for peer in self.peers.known()]
+            known = [peer.address for peer in self.peers.recently_seen()]
             fanout = min(len(known), self.settings.fanout)
             for address in random.sample(known, fanout):
                 await self.send(address, message)
--- a/packages/gypsumfold/src/gypsumfold/membership.py
+++ b/packages/gypsumfold/src/gypsumfold/membership.py
@@ -47,7 +47,7 @@
 
     def apply(self, listed: vms.VMList) -> None:
         """Takes one reading of the list in."""
-        addresses = {peer.address for peer in self.peers.known()}
+        addresses = {peer.address for peer in self.peers.recently_seen()}
         for vm in listed.vms:
             if vm.purpose == "entry":
                 addresses.add(vm.address)
--- a/packages/gypsumfold/src/gypsumfold/operators/live.py
+++ b/packages/gypsumfold/src/gypsumfold/operators/live.py
@@ -89,7 +89,7 @@
             0.0,
         )
     ]
-    for peer in sorted(node.peers.known()):
+    for peer in sorted(node.peers.recently_seen()):
         rows.append(
             (
                 peer.node,
--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -102,7 +102,7 @@
         """
         self.handlers[name] = _Handler(request_type, function)
 
-    def known(self) -> list[Peer]:
+    def recently_seen(self) -> list[Peer]:
         """Lists the peers that were heard of within the last intervals."""
         horizon = (
             time.monotonic()
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -148,7 +148,7 @@
     def look(self) -> None:
         """Decides anew whether this node's configuration is fresh."""
         peers = []
-        for peer in self.peers.known():
+        for peer in self.peers.recently_seen():
             peers.append(
                 config_freshness_module.PeerView(
                     peer.revision, peer.last_answered
@@ -167,7 +167,7 @@
         """Lists the peers that know what this node does not."""
         gap = self.configuration.position < self.tail.next_offset - 1
         found = []
-        for peer in self.peers.known():
+        for peer in self.peers.recently_seen():
             if peer.revision < 0:
                 continue
             if peer.revision > self.configuration.revision or gap:
@@ -268,7 +268,7 @@
     def rank(self) -> int:
         """Counts the peers that come before this node in publishing."""
         before = 0
-        for peer in self.peers.known():
+        for peer in self.peers.recently_seen():
             if peer.incarnation < self.incarnation:
                 before += 1
         return before
