--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -161,9 +161,11 @@
         for address in wanted:
             if address in self.links:
                 continue
-            self.links[address] = asyncio.create_task(self.link(address))
+            self.links[address] = asyncio.create_task(
+                self.keep_connected(address)
+            )
 
-    async def link(self, address: str) -> None:
+    async def keep_connected(self, address: str) -> None:
         """Keeps a connection to one peer, with heartbeats on it."""
         failures = 0
         while True:
