--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -173,7 +173,7 @@
                 channel = await self.connect(address, self.patience)
                 self.channels[address] = channel
                 failures = 0
-                await self.converse(address, channel)
+                await self.send_heartbeats(address, channel)
             except exceptions.PeerError as error:
                 failures += 1
                 # The first failure may be the connection's alone.
@@ -189,7 +189,9 @@
         """Seconds without a reply until a connection is given up."""
         return MAX_MISSED_HEARTBEATS * self.settings.heartbeat
 
-    async def converse(self, address: str, channel: channels.Channel) -> None:
+    async def send_heartbeats(
+        self, address: str, channel: channels.Channel
+    ) -> None:
         """Sends heartbeats on a connection until it fails."""
         reader = asyncio.create_task(drain(channel))
         known = False
