--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -409,6 +409,6 @@
     asyncio.run(peers.on_heartbeat(beat, "127.0.0.2"))
     (peer,) = peers.recently_seen()
     assert peer.last_answered == 0.0, peer
-    peers.note(beat, answered=7.0)
+    peers.record_state(beat, answered=7.0)
     (peer,) = peers.recently_seen()
     assert peer.last_answered == 7.0, peer
--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -204,7 +204,7 @@
                     thrift.Heartbeat,
                     self.patience,
                 )
-                self.note(reply, sent)
+                self.record_state(reply, sent)
                 if not known:
                     known = True
                     events.log(
@@ -216,7 +216,7 @@
             channel.close()
             reader.cancel()
 
-    def note(self, message, answered: float = 0.0) -> None:
+    def record_state(self, message, answered: float = 0.0) -> None:
         """Takes in what a peer says of itself, in the order it said it."""
         revision = message.revision
         before = self.by_address.get(message.address)
@@ -236,7 +236,7 @@
 
     async def on_heartbeat(self, message, address: str):
         """Serves a peer's heartbeat."""
-        self.note(message)
+        self.record_state(message)
         return self.describe()
 
     async def serve(self) -> None:
