--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -72,7 +72,11 @@
         """Sends a digest to one peer; it may get lost."""
         try:
             await self.peers.call(
-                address, METHOD, message, thrift.Nothing, self.peers.patience
+                address,
+                METHOD,
+                message,
+                thrift.Nothing,
+                self.peers.reply_timeout,
             )
         except exceptions.PeerError:
             return
--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -170,7 +170,7 @@
         failures = 0
         while True:
             try:
-                channel = await self.connect(address, self.patience)
+                channel = await self.connect(address, self.reply_timeout)
                 self.channels[address] = channel
                 failures = 0
                 await self.send_heartbeats(address, channel)
@@ -185,7 +185,7 @@
                     await asyncio.sleep(self.settings.heartbeat)
 
     @property
-    def patience(self) -> float:
+    def reply_timeout(self) -> float:
         """Seconds without a reply until a connection is given up."""
         return MAX_MISSED_HEARTBEATS * self.settings.heartbeat
 
@@ -202,7 +202,7 @@
                     "heartbeat",
                     self.describe(),
                     thrift.Heartbeat,
-                    self.patience,
+                    self.reply_timeout,
                 )
                 self.record_state(reply, sent)
                 if not known:
