--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -128,7 +128,7 @@
         if channel is not None and not channel.closed:
             return await channel.call(name, message, reply_type, timeout)
         channel = await self.connect(address, timeout)
-        reader = asyncio.create_task(drain(channel))
+        reader = asyncio.create_task(receive_replies(channel))
         try:
             return await channel.call(name, message, reply_type, timeout)
         finally:
@@ -193,7 +193,7 @@
         self, address: str, channel: channels.Channel
     ) -> None:
         """Sends heartbeats on a connection until it fails."""
-        reader = asyncio.create_task(drain(channel))
+        reader = asyncio.create_task(receive_replies(channel))
         known = False
         try:
             while True:
@@ -304,7 +304,7 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def drain(channel: channels.Channel) -> None:
+async def receive_replies(channel: channels.Channel) -> None:
     """Runs a channel's reader; calls in progress learn of its end."""
     try:
         await channel.run_client()
