--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -27,7 +27,7 @@
 
 # Seconds between two looks at what peers say; a tenth of the default
 # heartbeat, so that it adds little to the time until a pull.
-LOOK = 0.05
+CHECK_INTERVAL_SECONDS = 0.05
 # Seconds after which the last look counts no more: the process was paused,
 # and what it knew may be old.
 LOOK_LIMIT = 1.0
@@ -103,7 +103,7 @@
         """Follows the log and the peers for as long as the node runs."""
         while True:
             self.look()
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def run_tail(self) -> None:
         """Follows the log, from its newest snapshot on if there is one."""
@@ -143,7 +143,7 @@
             sources = self.sources()
             if sources:
                 await self.try_pull(random.choice(sources))
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def look(self) -> None:
         """Decides anew whether this node's configuration is fresh."""
