--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -30,7 +30,7 @@
 CHECK_INTERVAL_SECONDS = 0.05
 # Seconds after which the last look counts no more: the process was paused,
 # and what it knew may be old.
-LOOK_LIMIT = 1.0
+CHECK_EXPIRY_SECONDS = 1.0
 # Seconds for one pull: a page of at most half a frame between neighbours.
 PULL_TIMEOUT = 2.0
 # Bytes of entries or of a snapshot in one reply; a single batch on the log
@@ -85,7 +85,7 @@
 
     def fresh(self) -> bool:
         """Whether the node knows the configuration well enough to serve."""
-        if clocks.now() - self.looked > LOOK_LIMIT:
+        if clocks.now() - self.looked > CHECK_EXPIRY_SECONDS:
             return False
         return self.freshness.fresh
 
