--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -42,7 +42,7 @@
 # a snapshot. One is due after `snapshots.REPUBLISH_ENTRIES`, two pages.
 SEEK_PAGES = 4
 # Share of the log's retention between two looks whether a snapshot is due.
-SNAPSHOT_LOOK = 0.02
+SNAPSHOT_CHECK_FRACTION = 0.02
 # Seconds between these looks at the most.
 SNAPSHOT_LOOK_LIMIT = 60.0
 # The share of the due time by which each further node waits longer, and how
@@ -250,7 +250,7 @@
     async def run_snapshots(self) -> None:
         """Publishes a snapshot whenever one is due from this node."""
         retention = self.settings.platform.retention
-        pause = min(retention * SNAPSHOT_LOOK, SNAPSHOT_LOOK_LIMIT)
+        pause = min(retention * SNAPSHOT_CHECK_FRACTION, SNAPSHOT_LOOK_LIMIT)
         while True:
             await asyncio.sleep(pause * (0.5 + random.random()))
             waits = 1 + RANK_SHARE * min(self.rank(), MOST_RANK)
