--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -44,7 +44,7 @@
 # Share of the log's retention between two looks whether a snapshot is due.
 SNAPSHOT_CHECK_FRACTION = 0.02
 # Seconds between these looks at the most.
-SNAPSHOT_LOOK_LIMIT = 60.0
+MAX_SNAPSHOT_CHECK_SECONDS = 60.0
 # The share of the due time by which each further node waits longer, and how
 # many nodes do: if the first cannot reach the log, the next one publishes.
 # The fourth still does so at 0.25 * (1 + 3 * 0.5) = 0.63 of the retention.
@@ -250,7 +250,9 @@
     async def run_snapshots(self) -> None:
         """Publishes a snapshot whenever one is due from this node."""
         retention = self.settings.platform.retention
-        pause = min(retention * SNAPSHOT_CHECK_FRACTION, SNAPSHOT_LOOK_LIMIT)
+        pause = min(
+            retention * SNAPSHOT_CHECK_FRACTION, MAX_SNAPSHOT_CHECK_SECONDS
+        )
         while True:
             await asyncio.sleep(pause * (0.5 + random.random()))
             waits = 1 + RANK_SHARE * min(self.rank(), MOST_RANK)
