--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -32,7 +32,7 @@
 # and what it knew may be old.
 CHECK_EXPIRY_SECONDS = 1.0
 # Seconds for one pull: a page of at most half a frame between neighbours.
-PULL_TIMEOUT = 2.0
+PULL_TIMEOUT_SECONDS = 2.0
 # Bytes of entries or of a snapshot in one reply; a single batch on the log
 # has at most 256 KiB, and both together fit `framing.REPLY_LIMIT`.
 PAGE_BYTES = 512 * 1024
@@ -218,7 +218,7 @@
             "config.pull",
             thrift.ConfigPull(start, snapshot, part),
             thrift.ConfigPage,
-            PULL_TIMEOUT,
+            PULL_TIMEOUT_SECONDS,
         )
 
     async def serve(self, message, address: str):
