--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -35,7 +35,7 @@
 PULL_TIMEOUT_SECONDS = 2.0
 # Bytes of entries or of a snapshot in one reply; a single batch on the log
 # has at most 256 KiB, and both together fit `framing.REPLY_LIMIT`.
-PAGE_BYTES = 512 * 1024
+MAX_PAGE_BYTES = 512 * 1024
 # Entries of one page of the log (docs/PROTOCOLS.md).
 LOG_PAGE = 512
 # Pages that a starting node reads backwards from the log's end in search of
@@ -235,7 +235,7 @@
         for entry in entries:
             body = records.encode(list(entry.records))
             size += len(body)
-            if page and size > PAGE_BYTES:
+            if page and size > MAX_PAGE_BYTES:
                 break
             page.append(thrift.ConfigEntry(entry.offset, entry.time, body))
         return thrift.ConfigPage(page, -1, 0, b"")
@@ -243,8 +243,8 @@
     def snapshot_page(self, part: int):
         """Makes the reply with one part of the snapshot that is served."""
         offset, body = self.served
-        parts = -(-len(body) // PAGE_BYTES)
-        piece = body[part * PAGE_BYTES : (part + 1) * PAGE_BYTES]
+        parts = -(-len(body) // MAX_PAGE_BYTES)
+        piece = body[part * MAX_PAGE_BYTES : (part + 1) * MAX_PAGE_BYTES]
         return thrift.ConfigPage([], offset, parts, piece)
 
     async def run_snapshots(self) -> None:
