--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -37,7 +37,7 @@
 # has at most 256 KiB, and both together fit `framing.REPLY_LIMIT`.
 MAX_PAGE_BYTES = 512 * 1024
 # Entries of one page of the log (docs/PROTOCOLS.md).
-LOG_PAGE = 512
+LOG_PAGE_ENTRIES = 512
 # Pages that a starting node reads backwards from the log's end in search of
 # a snapshot. One is due after `snapshots.REPUBLISH_ENTRIES`, two pages.
 SEEK_PAGES = 4
@@ -127,8 +127,8 @@
         page = await log.read(records.CONFIG, self.tail.next_offset, 0.0)
         start = page.end
         for _ in range(SEEK_PAGES):
-            start -= LOG_PAGE
-            if start <= page.first + LOG_PAGE:
+            start -= LOG_PAGE_ENTRIES
+            if start <= page.first + LOG_PAGE_ENTRIES:
                 return
             found = await log.read(records.CONFIG, start, 0.0)
             for entry in found.entries:
