--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -40,7 +40,7 @@
 LOG_PAGE_ENTRIES = 512
 # Pages that a starting node reads backwards from the log's end in search of
 # a snapshot. One is due after `snapshots.REPUBLISH_ENTRIES`, two pages.
-SEEK_PAGES = 4
+MAX_SEEK_PAGES = 4
 # Share of the log's retention between two looks whether a snapshot is due.
 SNAPSHOT_CHECK_FRACTION = 0.02
 # Seconds between these looks at the most.
@@ -126,7 +126,7 @@
         log = self.publisher.log
         page = await log.read(records.CONFIG, self.tail.next_offset, 0.0)
         start = page.end
-        for _ in range(SEEK_PAGES):
+        for _ in range(MAX_SEEK_PAGES):
             start -= LOG_PAGE_ENTRIES
             if start <= page.first + LOG_PAGE_ENTRIES:
                 return
