--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -49,7 +49,7 @@
 # many nodes do: if the first cannot reach the log, the next one publishes.
 # The fourth still does so at 0.25 * (1 + 3 * 0.5) = 0.63 of the retention.
 RANK_DELAY_FRACTION = 0.5
-MOST_RANK = 3
+MAX_RANK = 3
 
 
 class Replication:
@@ -255,7 +255,7 @@
         )
         while True:
             await asyncio.sleep(pause * (0.5 + random.random()))
-            waits = 1 + RANK_DELAY_FRACTION * min(self.rank(), MOST_RANK)
+            waits = 1 + RANK_DELAY_FRACTION * min(self.rank(), MAX_RANK)
             if not self.fresh() or not self.configuration.snapshot_due(
                 time.time(), retention * waits
             ):
