--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -142,7 +142,7 @@
 
         The balancer goes on sending for its notice time.
         """
-        return self.replication.fresh()
+        return self.replication.is_fresh()
 
     def describe(self):
         """Makes the heartbeat that tells peers of this node."""
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -83,7 +83,7 @@
         configuration.watch(log_outcome)
         configuration.restored = log_restored
 
-    def fresh(self) -> bool:
+    def is_fresh(self) -> bool:
         """Whether the node knows the configuration well enough to serve."""
         if clocks.now() - self.looked > CHECK_EXPIRY_SECONDS:
             return False
@@ -256,7 +256,7 @@
         while True:
             await asyncio.sleep(pause * (0.5 + random.random()))
             waits = 1 + RANK_DELAY_FRACTION * min(self.rank(), MAX_RANK)
-            if not self.fresh() or not self.configuration.snapshot_due(
+            if not self.is_fresh() or not self.configuration.snapshot_due(
                 time.time(), retention * waits
             ):
                 continue
