--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -77,7 +77,7 @@
         self.publisher = publisher
         self.incarnation = incarnation
         self.freshness = config_freshness_module.ConfigFreshness()
-        self.looked = 0.0
+        self.checked_at = 0.0
         self.served: tuple[int, bytes] = (-1, b"")
         peers.handle("config.pull", thrift.ConfigPull, self.serve)
         configuration.watch(log_outcome)
@@ -85,7 +85,7 @@
 
     def is_fresh(self) -> bool:
         """Whether the node knows the configuration well enough to serve."""
-        if clocks.now() - self.looked > CHECK_EXPIRY_SECONDS:
+        if clocks.now() - self.checked_at > CHECK_EXPIRY_SECONDS:
             return False
         return self.freshness.fresh
 
@@ -160,8 +160,8 @@
             self.tail.last_seen or None,
             tuple(peers),
         )
-        self.looked = clocks.now()
-        self.freshness.update(view, self.looked)
+        self.checked_at = clocks.now()
+        self.freshness.update(view, self.checked_at)
 
     def sources(self) -> list[str]:
         """Lists the peers that know what this node does not."""
