--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -93,7 +93,7 @@
         """The revision that this node may vouch for; -1 for none yet."""
         return self.configuration.revision if self.freshness.settled else -1
 
-    def log_read(self) -> bool:
+    def has_read_log(self) -> bool:
         """Whether all up to the log's end, as last read, took its place."""
         if not self.tail.caught_up.is_set():
             return False
@@ -156,7 +156,7 @@
             )
         view = config_freshness_module.View(
             self.configuration.revision,
-            self.log_read(),
+            self.has_read_log(),
             self.tail.last_seen or None,
             tuple(peers),
         )
