--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -102,7 +102,7 @@
     async def run(self) -> None:
         """Follows the log and the peers for as long as the node runs."""
         while True:
-            self.look()
+            self.check_freshness()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def run_tail(self) -> None:
@@ -145,7 +145,7 @@
                 await self.try_pull(random.choice(sources))
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
-    def look(self) -> None:
+    def check_freshness(self) -> None:
         """Decides anew whether this node's configuration is fresh."""
         peers = []
         for peer in self.peers.recently_seen():
