--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -78,7 +78,7 @@
         self.incarnation = incarnation
         self.freshness = config_freshness_module.ConfigFreshness()
         self.checked_at = 0.0
-        self.served: tuple[int, bytes] = (-1, b"")
+        self.served_snapshot: tuple[int, bytes] = (-1, b"")
         peers.handle("config.pull", thrift.ConfigPull, self.serve)
         configuration.watch(log_outcome)
         configuration.restored = log_restored
@@ -223,12 +223,15 @@
 
     async def serve(self, message, address: str):
         """Answers a peer's pull by entries or by a part of a snapshot."""
-        if message.snapshot >= 0 and message.snapshot == self.served[0]:
+        if (
+            message.snapshot >= 0
+            and message.snapshot == self.served_snapshot[0]
+        ):
             return self.snapshot_page(message.part)
         entries = self.configuration.since(message.start)
         if entries is None:
             snapshot = self.configuration.snapshot()
-            self.served = (snapshot.offset, snapshots.encode(snapshot))
+            self.served_snapshot = (snapshot.offset, snapshots.encode(snapshot))
             return self.snapshot_page(0)
         page = []
         size = 0
@@ -242,7 +245,7 @@
 
     def snapshot_page(self, part: int):
         """Makes the reply with one part of the snapshot that is served."""
-        offset, body = self.served
+        offset, body = self.served_snapshot
         parts = -(-len(body) // MAX_PAGE_BYTES)
         piece = body[part * MAX_PAGE_BYTES : (part + 1) * MAX_PAGE_BYTES]
         return thrift.ConfigPage([], offset, parts, piece)
