--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -109,12 +109,12 @@
         """Follows the log, from its newest snapshot on if there is one."""
         if self.configuration.position < 0:
             try:
-                await self.seek()
+                await self.seek_snapshot()
             except exceptions.PlatformError as error:
                 events.log(events.SNAPSHOT_NOT_SOUGHT, reason=repr(error))
         await self.tail.run()
 
-    async def seek(self) -> None:
+    async def seek_snapshot(self) -> None:
         """Reads the log backwards until a snapshot bridges the rest.
 
         If none does, the tail reads from the first record, and what was
