--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -190,7 +190,7 @@
             exceptions.PeerError: The peer does not answer.
             exceptions.RecordInvalid: Its snapshot fits no known type.
         """
-        page = await self.ask(address, -1, 0)
+        page = await self.request_page(address, -1, 0)
         if page.snapshot >= 0:
             await self.pull_snapshot(address, page)
             return
@@ -204,13 +204,13 @@
         """Pulls the other parts of a snapshot and takes it over."""
         body = page.body
         for part in range(1, page.parts):
-            further = await self.ask(address, page.snapshot, part)
+            further = await self.request_page(address, page.snapshot, part)
             if further.snapshot != page.snapshot:
                 return
             body += further.body
         self.configuration.restore(snapshots.decode(body))
 
-    async def ask(self, address: str, snapshot: int, part: int):
+    async def request_page(self, address: str, snapshot: int, part: int):
         """Makes one call to a peer."""
         start = self.configuration.position + 1
         return await self.peers.call(
