--- a/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefill_rates.py
@@ -1,53 +1,52 @@
-"""How fast engines read prompts, and how long a prompt waits there.
+"""Estimates engines' prefill rates and recent waits.
 
-Load pattern: engines whose speed nobody declares, and queues that no report
-shows in time. Without the estimate a prompt is sent to a queue that already
-holds more than its objective.
+Load pattern: engines whose speed isn't declared, and queues that load reports
+show too late. Without the estimate a prompt is sent to a queue that already
+holds more work than its objective allows.
 """
 
 import math
 from typing import NamedTuple
 
-# Prompt tokens a second that an engine is taken to read before any prompt
-# was seen: two accelerators with a large mixture-of-experts model.
+# Prefill rate assumed before the first prompt, in tokens per second: two
+# accelerators with a large mixture-of-experts model.
 INITIAL_RATE = 40_000.0
-# Seconds that reading any prompt takes beside its tokens, as taken at first:
-# connecting the batch, the first step, the way there and back.
+# Fixed part of a prompt's prefill time, in addition to its tokens: joining the
+# batch, the first step and the round trip.
 PROMPT_OVERHEAD_SECONDS = 0.03
-# Seconds of an engine's time that reading a prompt takes beside its tokens: a
-# busy engine reads several short prompts in one step of 4 to 7 ms, and takes
-# the next ones while an answer is on its way. Taken for 30 ms each, 27 prompts
-# of 290 tokens that waited counted as 1 s, and callers with 2 s left were
-# refused.
+# Fixed engine time per prompt, in addition to its tokens: a busy engine
+# prefills several short prompts in one step of 4 to 7 ms and takes the next
+# ones while a response is under way. With 30 ms for each, 27 waiting prompts of
+# 290 tokens counted as 1 s, and callers with 2 s left were refused.
 ENGINE_OVERHEAD_SECONDS = 0.002
-# Share of the observations that are to be faster than the estimate: a prompt
-# that waited says nothing of the engine's speed, one that did not does.
+# Fraction of observations that should be faster than the estimate: only prompts
+# that didn't wait show the engine's speed.
 FAST_FRACTION = 0.25
-# Relative step of the rate estimate per observation; 20 observations move it
-# by a third.
+# Relative change of the rate estimate per observation; 20 observations change
+# it by a third.
 RATE_STEP_FRACTION = 0.03
-# Tokens below which a prompt says little about the rate: their reading takes
-# less than the overhead.
+# Shorter prompts say little about the rate: their tokens take less time than
+# the fixed overhead.
 MIN_TOKENS = 1500
-# Seconds after which half of a wait that was seen is forgotten: the queue of
-# an engine that reads 40,000 tokens a second turns over in less.
+# Half-life of an observed wait: the queue of an engine that prefills 40,000
+# tokens per second turns over in less.
 WAIT_HALF_LIFE_SECONDS = 0.6
 # Weight of one observed wait.
 WAIT_SMOOTHING = 0.5
 
 
 class ObservedWait(NamedTuple):
-    """Seconds that prompts waited, and when that was seen last."""
+    """Smoothed seconds that prompts waited, and when it was last updated."""
 
     seconds: float
     at: float
 
 
 class PrefillEstimator:
-    """What one engine's prompts took.
+    """Prefill rate and waits of one engine.
 
-    >>> pace = Pace()
-    >>> round(pace.expected(4000), 2)
+    >>> estimator = PrefillEstimator()
+    >>> round(estimator.prefill_seconds(4000), 2)
     0.13
     """
 
@@ -56,11 +55,11 @@
         self.waits: dict[int, ObservedWait] = {}
 
     def prefill_seconds(self, tokens: int) -> float:
-        """Seconds to read so many tokens on an idle engine."""
+        """Seconds to prefill this many tokens on an idle engine."""
         return PROMPT_OVERHEAD_SECONDS + tokens / self.rate
 
     def busy_seconds(self, tokens: int) -> float:
-        """Seconds for which reading so many tokens keeps others waiting."""
+        """Seconds for which prefilling this many tokens delays others."""
         return ENGINE_OVERHEAD_SECONDS + tokens / self.rate
 
     def observe(
@@ -71,14 +70,14 @@
         now: float,
         urgency: int = 0,
     ) -> None:
-        """Learns from a prompt that was read.
+        """Updates the estimates from a completed prefill.
 
         Args:
-            tokens: Those that the engine had to read.
-            expected: Seconds that reading them was to take.
-            seconds: From sending it to its end.
-            now: The time.
-            urgency: Of its route: the urgent wait for less.
+            tokens: Tokens that the engine had to prefill.
+            expected: Expected seconds to prefill them.
+            seconds: Seconds from sending the prompt to its end.
+            now: Current time.
+            urgency: Urgency of its route; urgent prompts wait less.
         """
         excess = max(0.0, seconds - expected)
         seen = self.recent_wait(now, urgency)
@@ -93,7 +92,7 @@
             self.rate *= 1 - RATE_STEP_FRACTION * FAST_FRACTION
 
     def recent_wait(self, now: float, urgency: int = 0) -> float:
-        """The waits that prompts of one urgency had, with age."""
+        """Observed wait of prompts of one urgency, decayed by its age."""
         wait = self.waits.get(urgency)
         if wait is None:
             return 0.0
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -1,12 +1,12 @@
-"""Which engine reads a prompt, and where it copies what was read before.
-
-Load pattern: hot prompt beginnings that together are larger than one
-engine's memory. Sent anywhere, each beginning is read by every engine and
-pushes others out; each has a home instead, chosen by rendezvous hashing so
-that all nodes agree without talking. A home whose queue is longer than
-reading elsewhere would take is passed over, and the other engine copies the
-beginning from the home over the engines' links, which takes milliseconds
-where reading it again takes tenths of a second.
+"""Routes prompts to prefill engines by cached prefix and expected wait.
+
+Load pattern: hot prompt prefixes that together exceed one engine's KV cache.
+If prompts went to any engine, every engine would prefill every prefix and
+evict others. Instead each prefix has a preferred engine, chosen by rendezvous
+hashing so that all nodes agree without coordination. If the preferred
+engine's queue is longer than prefill elsewhere would take, another engine is
+chosen. It copies the prefix from the preferred engine over the engines'
+links, which takes milliseconds; prefilling it again takes tenths of a second.
 """
 
 import math
@@ -21,35 +21,34 @@
 from gypsumfold.decisions import prefill_demand
 from gypsumfold.decisions import prefill_rates
 
-# Engines in a beginning's order that are weighed: all of a small fleet, and
-# of a large one enough that one of them is free (with 70 engines the chance
-# that all of eight are the busiest tenth is 1e-8).
+# Engines compared for a prefix, in rendezvous order: all of a small fleet, and
+# enough of a large one that one of them is free (with 70 engines the chance
+# that all eight are among the busiest tenth is 1e-8).
 MAX_CONSIDERED_ENGINES = 8
-# Times the reading of a prompt's shared parts by which another engine must be
-# quicker than the home: each engine that reads a beginning of its own pushes
-# others out of its memory. A prompt that shares little goes to the shortest
-# queue.
+# Another engine must beat the preferred one by the prefill time of the shared
+# blocks times this: each engine that prefills a prefix itself evicts others
+# from its cache. A prompt that shares little goes to the shortest queue.
 PREFERRED_WEIGHT = 1.0
-# Share of its reading for which a late prompt holds up others: it goes behind
-# them, but they wait for the piece of it that is being read.
+# Fraction of its load for which a late prompt delays others: it is queued
+# behind them, but they wait for the chunk of it that is being prefilled.
 LATE_LOAD_FRACTION = 0.2
-# Urgencies that are told apart from 0 on; the least urgent count together.
+# Urgencies from 0 to this are counted separately; larger ones count as this.
 MAX_URGENCY = 3
-# Seconds for which a prompt that is being read holds up a more urgent one:
-# engines read in pieces of 1,024 to 2,048 tokens, at 38 to 64 in a ms. Counted
-# whole, long prompts made short ones that overtake them look late.
+# Seconds for which a prompt in prefill delays a more urgent one: engines
+# prefill in chunks of 1,024 to 2,048 tokens at 38 to 64 tokens per ms. When
+# long prompts counted in full, short ones that overtake them looked late.
 CHUNK_SECONDS = 0.032
-# Tokens below which copying takes longer than reading: 400 are 10 ms.
+# Below this copying takes longer than prefill: 400 tokens take 10 ms.
 MIN_COPY_TOKENS = 400
-# Seconds that copying cached parts takes beside their bytes.
+# Fixed time to copy cached blocks, in addition to the transfer of their bytes.
 COPY_OVERHEAD_SECONDS = 0.008
 
 
 class Engine(NamedTuple):
-    """An engine that could read the prompt.
+    """An engine that can prefill the prompt or has blocks of it to copy.
 
     Attributes:
-        name: Its instance.
+        name: Its instance ID.
         address: IP:PORT.
     """
 
@@ -58,13 +57,13 @@
 
 
 class Prompt(NamedTuple):
-    """A prompt that is to be read.
+    """A prompt to prefill.
 
     Attributes:
-        chain: Its parts.
-        model: The model asked for.
-        tokens: Its length.
-        urgency: Its route's; 0 is the most urgent.
+        chain: Its prefix chain.
+        model: The requested model.
+        tokens: Length in tokens.
+        urgency: Urgency of its route; 0 is the most urgent.
     """
 
     chain: chains.Chain
@@ -74,7 +73,7 @@
 
 
 class Holder(NamedTuple):
-    """An engine that has a prompt's beginning, and how much of it."""
+    """An engine that caches a prompt prefix, and how many tokens of it."""
 
     name: str
     address: str
@@ -82,20 +81,21 @@
 
 
 class Choice(NamedTuple):
-    """Where a prompt is read.
+    """The engine chosen for a prompt, with time estimates.
 
     Attributes:
-        engine: The engine's instance.
-        peer: Address of the engine to copy cached parts from; empty for
+        engine: The engine's instance ID.
+        peer: Address of the engine to copy cached blocks from; empty for
             none.
-        tokens: Those that are left to be read.
-        prefill_seconds: Seconds that reading them takes.
-        total_seconds: Seconds until they are read, with the wait.
-        load: Seconds for which it holds up prompts that come later.
-        late_ahead: Seconds of late prompts before it, if it is late itself.
-        late_key: Where it counts among late prompts; empty if it is on time.
-        late_load: Seconds for which it holds up late prompts behind it.
-        urgency: With which it counts among what waits.
+        tokens: Tokens left to prefill.
+        prefill_seconds: Seconds to prefill them.
+        total_seconds: Seconds until prefill is complete, including the wait.
+        load: Seconds for which the prompt delays later prompts.
+        late_ahead: Seconds of late prompts queued ahead if this one is late.
+        late_key: Key under which it counts among late prompts; empty if it
+            is on time.
+        late_load: Seconds for which it delays late prompts behind it.
+        urgency: Urgency under which it counts as waiting.
     """
 
     engine: str
@@ -111,20 +111,20 @@
 
 
 class LoadListener(Protocol):
-    """Is told of each prompt, to tell other nodes."""
+    """Receives changes of this node's load, to send them to other nodes."""
 
     def sent(self, engine: str, links: list[int], tokens: list[int]) -> None:
-        """A prompt goes to an engine."""
+        """A prompt was sent to an engine."""
 
     def done(self) -> None:
-        """An engine is done with a prompt."""
+        """A prompt or stream at an engine has ended."""
 
 
 class PrefixRouter:
-    """Chooses by home, wait and what is believed to be cached.
+    """Chooses prefill engines by preferred engine, wait and cached prefixes.
 
-    >>> homes = Homes()
-    >>> homes.choose(prompt, engines, engines, 0.0, now=0.0)
+    >>> router = PrefixRouter()
+    >>> router.choose(prompt, engines, engines, 0.0, now=0.0)
     Choice(...)
     """
 
@@ -138,13 +138,13 @@
         self.listener: LoadListener | None = None
 
     def prefill_estimator(self, engine: str) -> prefill_rates.PrefillEstimator:
-        """What is known of an engine's speed."""
+        """Returns an engine's estimator, creating it if needed."""
         return self.prefill_estimators.setdefault(
             engine, prefill_rates.PrefillEstimator()
         )
 
     def median_rate(self) -> float:
-        """Tokens a second that engines read, the middle one of those known."""
+        """Median prefill rate of the known engines, in tokens per second."""
         rates = [
             estimator.rate for estimator in self.prefill_estimators.values()
         ]
@@ -155,7 +155,7 @@
     ) -> float:
         """Seconds that a prompt is expected to wait at an engine.
 
-        Those that are less urgent hold it up by the piece being read only.
+        Less urgent prompts delay it only by the chunk being prefilled.
         """
         urgency = min(urgency, MAX_URGENCY)
         seen = self.prefill_estimator(engine).recent_wait(now, urgency)
@@ -170,11 +170,11 @@
         return max(seen, before + min(after, CHUNK_SECONDS))
 
     def queued_seconds(self, engine: str, now: float) -> float:
-        """Seconds of prompts of any urgency that wait at an engine."""
-        found = 0.0
+        """Seconds of waiting prompts of any urgency at an engine."""
+        seconds = 0.0
         for urgency in range(MAX_URGENCY + 1):
-            found += self.waiting.total(urgency_key(engine, urgency), now)
-        return found
+            seconds += self.waiting.total(urgency_key(engine, urgency), now)
+        return seconds
 
     def choose(
         self,
@@ -184,25 +184,25 @@
         copy_rate: float,
         now: float,
     ) -> Choice | None:
-        """Picks the engine that has the prompt read first.
+        """Chooses the engine that would complete the prompt's prefill first.
 
         Args:
             prompt: The prompt.
-            engines: Those that could read it.
-            holders: Those whose cached parts could be copied; also engines
-                that leave.
-            copy_rate: Tokens a second over a link; 0 where parts cannot be
+            engines: Engines that can prefill it.
+            holders: Engines whose cached blocks can be copied, including
+                those that are leaving.
+            copy_rate: Tokens per second over a link; 0 if blocks can't be
                 copied.
-            now: The time.
+            now: Current time.
 
         Returns:
-            None where there is no engine.
+            The choice, or None if there is no engine.
         """
         chain, model = prompt.chain, prompt.model
         key = chains.shared_prefix_key(chain, model) or chains.prompt_key(
             chain, model
         )
-        shared_tokens = sum(part.tokens for part in chain[:-1])
+        shared_tokens = sum(block.tokens for block in chain[:-1])
         holder = self.best_holder(prompt, holders)
         ranked = rank_engines(key, engines)
         best = None
@@ -225,7 +225,7 @@
         copy_rate: float,
         now: float,
     ) -> Choice:
-        """Works out how long a prompt takes at one engine."""
+        """Estimates how long a prompt takes at one engine."""
         cached = self.caches.cached_tokens(
             engine.name, prompt.chain, prompt.model
         )
@@ -243,8 +243,8 @@
         tokens = max(0, prompt.tokens - cached)
         estimator = self.prefill_estimator(engine.name)
         prefill_seconds = estimator.prefill_seconds(tokens)
-        delay = self.expected_wait(engine.name, now, prompt.urgency)
-        total = delay + copying + prefill_seconds
+        wait = self.expected_wait(engine.name, now, prompt.urgency)
+        total = wait + copying + prefill_seconds
         late_ahead = self.late_ahead(engine.name, prompt.urgency, now)
         load = estimator.busy_seconds(tokens)
         return Choice(
@@ -259,14 +259,14 @@
         )
 
     def late_ahead(self, engine: str, urgency: int, now: float) -> float:
-        """Seconds of late prompts that go before a late one."""
-        found = 0.0
+        """Seconds of late prompts queued ahead of a late prompt."""
+        seconds = 0.0
         for other in range(min(urgency, MAX_URGENCY) + 1):
-            found += self.late.total(urgency_key(engine, other), now)
-        return found
+            seconds += self.late.total(urgency_key(engine, other), now)
+        return seconds
 
     def best_holder(self, prompt: Prompt, holders: list[Engine]) -> Holder:
-        """The engine that is believed to have most of a prompt's beginning."""
+        """Finds the engine that caches most of a prompt's shared prefix."""
         best = Holder("", "", 0)
         shared = prompt.chain[:-1]
         for engine in holders:
@@ -285,18 +285,19 @@
         cache_capacity: int,
         urgency: int | None,
     ) -> Choice:
-        """Notes that a prompt goes to an engine, which will then have it.
+        """Records that a prompt was sent to an engine, which then caches it.
 
         Args:
-            choice: Where it goes.
-            chain: Its parts.
-            model: The model asked for.
-            cache_capacity: Tokens that the engine's memory holds.
-            urgency: The route's, if the prompt is late: others go before it
-                and hardly wait for it. None if it is on time.
+            choice: The chosen engine.
+            chain: The prompt's prefix chain.
+            model: The requested model.
+            cache_capacity: Tokens that the engine's KV cache holds.
+            urgency: Urgency of the route if the prompt is late: others are
+                served before it and hardly wait for it. None if it is on
+                time.
 
         Returns:
-            The choice with the load that it counts for, for `done` or
+            The choice with the load it counts for, to pass to `done` or
             `dropped`.
         """
         self.cache_capacity = cache_capacity
@@ -304,22 +305,22 @@
             choice = choice._replace(
                 load=choice.load * LATE_LOAD_FRACTION,
                 late_key=urgency_key(choice.engine, urgency),
-                # It holds up all a little, the most urgent too.
+                # It delays all prompts a little, even the most urgent.
                 urgency=0,
                 late_load=choice.load,
             )
             self.late.add(choice.late_key, choice.late_load)
-        found = chains.prefix_hashes(chain, model)
-        tokens = [part.tokens for part in chain]
-        self.caches.add_hashes(choice.engine, found, tokens, cache_capacity)
+        hashes = chains.prefix_hashes(chain, model)
+        tokens = [block.tokens for block in chain]
+        self.caches.add_hashes(choice.engine, hashes, tokens, cache_capacity)
         key = urgency_key(choice.engine, choice.urgency)
         self.waiting.add(key, choice.load)
         if self.listener is not None:
-            self.listener.sent(choice.engine, found, tokens)
+            self.listener.sent(choice.engine, hashes, tokens)
         return choice
 
     def done(self, choice: Choice, seconds: float, now: float) -> None:
-        """Learns from a prompt that was read."""
+        """Records a completed prefill and updates the engine's estimates."""
         self.remove(choice)
         if not choice.late_key:
             estimator = self.prefill_estimator(choice.engine)
@@ -333,31 +334,31 @@
         self.notify_load_change()
 
     def dropped(self, choice: Choice) -> None:
-        """Notes that a prompt is not read where it was sent."""
+        """Records that a prompt isn't prefilled where it was sent."""
         self.remove(choice)
         self.notify_load_change()
 
     def remove(self, choice: Choice) -> None:
-        """Takes a prompt out of what waits."""
+        """Removes a prompt from the waiting load."""
         key = urgency_key(choice.engine, choice.urgency)
         self.waiting.remove(key, choice.load)
         if choice.late_key:
             self.late.remove(choice.late_key, choice.late_load)
 
     def notify_load_change(self) -> None:
-        """Lets the other nodes know that loads have changed."""
+        """Notifies the listener that this node's load has changed."""
         if self.listener is not None:
             self.listener.done()
 
     def add_remote_prompt(
-        self, engine: str, found: list[int], tokens: list[int]
+        self, engine: str, hashes: list[int], tokens: list[int]
     ) -> None:
-        """Notes that another node sent a prompt to an engine."""
+        """Records that another node sent a prompt to an engine."""
         if self.cache_capacity:
-            self.caches.add_hashes(engine, found, tokens, self.cache_capacity)
+            self.caches.add_hashes(engine, hashes, tokens, self.cache_capacity)
 
     def forget(self, engine: str) -> None:
-        """Drops an engine that is gone."""
+        """Drops the state of an engine that was removed."""
         self.caches.forget(engine)
         self.prefill_estimators.pop(engine, None)
         for urgency in range(MAX_URGENCY + 1):
@@ -366,15 +367,15 @@
 
 
 def urgency_key(engine: str, urgency: int) -> str:
-    """Names an engine's prompts of one urgency."""
+    """Key of an engine's prompts of one urgency."""
     return f"{engine}/{min(urgency, MAX_URGENCY)}"
 
 
 def rank_engines(key: int, engines: list[Engine]) -> list[Engine]:
-    """Ranks engines for a beginning; the first is its home."""
+    """Ranks engines for a prefix key; the first is the preferred engine."""
     return sorted(engines, key=lambda one: -rendezvous_weight(key, one.name))
 
 
 def rendezvous_weight(key: int, name: str) -> int:
-    """The weight of an engine for a beginning in rendezvous hashing."""
+    """Weight of an engine for a prefix key in rendezvous hashing."""
     return xxhash.xxh3_64_intdigest(f"{key}\n{name}".encode())
