--- a/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
@@ -1,20 +1,20 @@
-"""Which of the things said of a replica are of its newest start.
+"""Tells messages about a replica's newest incarnation from older ones.
 
-Load pattern: a replica that starts again under the instance that it had,
-while entries and reports of its earlier start are still on their way. Taken
-for the same one, it is believed to hold prompts that it has lost, and a late
-word of before brings an old role back.
+Load pattern: a replica that restarts under the same instance name while
+entries and reports from before the restart are still in flight. If they were
+taken as current, nodes would assume that it still caches prompts that it has
+lost, and a late report would restore an old role.
 """
 
 import collections
 
-# Instances whose start is remembered after they are gone; a late word comes
-# within seconds, in which no fleet replaces as many.
+# Instances whose start is remembered. Late messages arrive within seconds, in
+# which no fleet replaces this many replicas.
 MAX_INSTANCES = 4096
 
 
 class Incarnations:
-    """The newest start of each replica that says when it was.
+    """The newest start of each replica that reports its start time.
 
     >>> incarnations = Incarnations()
     >>> incarnations.observe("engine-1", 2000)
@@ -29,11 +29,14 @@
         )
 
     def observe(self, replica: str, started_at: int) -> bool:
-        """Takes a start in; says whether none later is known.
+        """Records a start.
 
         Args:
-            replica: Its instance.
-            started_at: Unix milliseconds; 0 if it does not say.
+            replica: The replica's instance.
+            started_at: Unix milliseconds; 0 if unknown.
+
+        Returns:
+            Whether no later start is known.
         """
         known = self.starts.get(replica, 0)
         if started_at <= 0:
@@ -47,7 +50,7 @@
         return True
 
     def known_starts(self, replicas: list[str]) -> dict[str, int]:
-        """The known starts of some replicas."""
+        """Returns the known start times of the given replicas."""
         found = {}
         for replica in replicas:
             if replica in self.starts:
@@ -56,5 +59,5 @@
 
 
 def is_later_start(started_at: int, known: int) -> bool:
-    """Whether a start is surely later than the one that is known."""
+    """Whether a start is later than a known one; False if either is unknown."""
     return 0 < known < started_at
--- a/packages/gypsumfold/src/gypsumfold/decisions/member_entries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/member_entries.py
@@ -1,11 +1,11 @@
-"""Which nodes are entered in the store, and whose entries may go.
-
-Load pattern: a site whose parts do not hear each other for minutes while all
-of them run and reach the store. By silence alone each part would take the
-others for dead, remove their entries, and use what the site has once as if it
-were its own. So an entry of a node that is not heard is marked as suspected at
-first, and removed only if nobody has renewed it within the time in which a
-living node has read it.
+"""Tracks the members' entries in the store and which may be removed.
+
+Load pattern: a partitioned site whose parts get no messages from each other for
+minutes, while all of them run and reach the store. By silence alone each part
+would consider the others dead, remove their entries, and use the site's budgets
+as if they were its own. So the entry of a silent node is first marked as
+suspected, and removed only if it wasn't renewed within the time in which a
+running node reads it.
 """
 
 import math
@@ -13,14 +13,14 @@
 
 from gypsumfold.decisions import members as members_module
 
-# Seconds of silence after which the entry of a node is suspected: five times
-# as long as a VM takes to start again.
+# Seconds of silence after which a node's entry is suspected: five times as long
+# as a VM takes to restart.
 SUSPECT_AFTER_SECONDS = 10.0
-# Seconds within which a living node has renewed its suspected entry: nodes
-# read all entries every 23 s.
+# Seconds within which a running node renews its suspected entry: nodes read all
+# entries every 23 s.
 RENEWAL_SECONDS = 25.0
-# Seconds without a reading of the entries after which this node may itself
-# have been removed: just above the time between two readings.
+# Seconds without a read of the entries after which this node's own entry may
+# have been removed: just above the time between two reads.
 MAX_READ_AGE_SECONDS = 24.0
 
 
@@ -28,9 +28,9 @@
     """A node's entry in the store.
 
     Attributes:
-        member: Whose it is.
-        suspected_at: When it was first seen marked as suspected; None where
-            it is not.
+        member: The node.
+        suspected_at: When the entry was first seen marked as suspected; None
+            if it isn't.
     """
 
     member: members_module.Member
@@ -41,15 +41,15 @@
     """The entries of the other nodes, as this one last read them.
 
     Attributes:
-        entered: By the VM's name.
-        read_at: When they were first read; none before.
-        known_at: When they were last read.
-        missed_at: When this node's own entry was last seen gone; the others
-            know of the new one only once they have read it.
-
-    >>> roster = Roster()
-    >>> roster.put(member, suspected=True, now=0.0)
-    >>> roster.dead(now=30.0)
+        entries: The entries by VM name.
+        first_read_at: When they were first read; infinity before.
+        last_read_at: When they were last read.
+        own_missing_at: When this node's own entry was last found missing; the
+            others know of the new one only after their next read.
+
+    >>> member_entries = MemberEntries()
+    >>> member_entries.put(member, suspected=True, now=0.0)
+    >>> member_entries.expired(now=30.0)
     [Member(...)]
     """
 
@@ -60,12 +60,12 @@
         self.own_missing_at = -math.inf
 
     def record_read(self, now: float) -> None:
-        """Notes that the entries were read."""
+        """Records that the entries were read."""
         self.first_read_at = min(self.first_read_at, now)
         self.last_read_at = now
 
     def is_outdated(self, now: float) -> bool:
-        """Whether this node's own entry may be gone without its knowledge."""
+        """Whether this node's own entry may have been removed unnoticed."""
         return now - self.last_read_at > MAX_READ_AGE_SECONDS
 
     def is_own_recently_missing(self, now: float) -> bool:
@@ -75,7 +75,7 @@
     def put(
         self, member: members_module.Member, suspected: bool, now: float
     ) -> None:
-        """Takes in an entry; a mark counts from when it was first seen."""
+        """Records an entry; a mark counts from when it was first seen."""
         if not suspected:
             self.entries[member.node] = MemberEntry(member)
             return
@@ -85,16 +85,16 @@
         self.entries[member.node] = MemberEntry(member, now)
 
     def observe(self, member: members_module.Member) -> None:
-        """Takes in a node that was heard: it has entered itself before."""
+        """Records a node that sent a message: it has written its entry."""
         if member.node not in self.entries:
             self.entries[member.node] = MemberEntry(member)
 
     def remove(self, node: str) -> None:
-        """Takes in that a VM's entry is gone."""
+        """Records that a VM's entry was removed."""
         self.entries.pop(node, None)
 
     def retain(self, nodes: set[str]) -> None:
-        """Takes in that only these VMs have an entry."""
+        """Drops the entries of all VMs but the given ones."""
         for node in list(self.entries):
             if node not in nodes:
                 del self.entries[node]
@@ -102,7 +102,7 @@
     def to_suspect(
         self, members: members_module.Members, now: float
     ) -> list[members_module.Member]:
-        """The nodes whose entries are to be marked as suspected."""
+        """Returns the nodes whose entries must be marked as suspected."""
         found = []
         for entered in self.entries.values():
             if entered.suspected_at is not None:
@@ -113,7 +113,7 @@
         return found
 
     def suspected(self) -> list[members_module.Member]:
-        """The nodes whose entries are marked."""
+        """Returns the nodes whose entries are marked as suspected."""
         found = []
         for entered in self.entries.values():
             if entered.suspected_at is not None:
@@ -121,7 +121,7 @@
         return found
 
     def expired(self, now: float) -> list[members_module.Member]:
-        """The nodes whose marked entries nobody has renewed in time."""
+        """Returns the nodes whose marked entries weren't renewed in time."""
         found = []
         for entered in self.entries.values():
             since = entered.suspected_at
--- a/packages/gypsumfold/src/gypsumfold/decisions/mix_duration.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/mix_duration.py
@@ -1,35 +1,36 @@
-"""How long the present mix of prompt and output tokens will stay.
+"""Estimates how long the current mix of prompt and output tokens will last.
 
-Load pattern: a mix that swings within minutes. A role change pays only if
-the mix stays for longer than the change costs, so the planner must know how
-long mixes have stayed until now.
+Load pattern: a mix that shifts within minutes. A role change pays off only if
+the mix lasts for longer than the change costs, so the planner must know how
+long mixes have lasted so far.
 """
 
 import math
 
 from gypsumfold.decisions import types
 
-# Seconds that a mix is expected to stay before any swing was seen: "within
-# minutes" in the users' words, taken at its shortest.
+# Expected duration of a mix before any shift was seen: the shortest reading of
+# the requirement "within minutes".
 INITIAL_SECONDS = 60.0
-# Weight of the last stay; about the last three count.
+# Weight of the last duration; about the last three count.
 SMOOTHING = 0.3
-# Factor by which the ratio of prompt to output tokens must move away from
-# where the present stay began before that counts as a swing.
+# Factor by which the ratio of prompt to output tokens must differ from the one
+# at the start of the mix to count as a shift.
 SHIFT_FACTOR = 2.0
 
 
 class MixDuration:
-    """Follows the ratio of prompt to output tokens.
+    """Tracks shifts of the ratio of prompt to output tokens.
 
     Attributes:
-        began: When the present stay began.
-        stay: Seconds that a stay lasts on average.
-        before: The demand in the stay before; None before the first swing.
+        started_at: When the current mix started.
+        average_seconds: How long a mix lasts on average.
+        previous_demand: The demand in the previous mix; None before the first
+            shift.
 
-    >>> swings = Swings(now=0.0)
-    >>> swings.note(types.Demand(4000.0, 100.0, 0), now=1.0)
-    >>> swings.stay
+    >>> duration = MixDuration(now=0.0)
+    >>> duration.observe(types.Demand(4000.0, 100.0, 0), now=1.0)
+    >>> duration.average_seconds
     60.0
     """
 
@@ -42,7 +43,7 @@
         self.current_demand: types.Demand | None = None
 
     def observe(self, demand: types.Demand, now: float) -> None:
-        """Takes the present demand in."""
+        """Records the current demand."""
         if demand.prompt_tokens <= 0 or demand.output_tokens <= 0:
             return
         ratio = math.log(demand.prompt_tokens / demand.output_tokens)
@@ -61,10 +62,10 @@
         self.started_at = now
 
     def remaining_seconds(self, now: float) -> float:
-        """Seconds that the present mix will stay from now on.
+        """Returns how many more seconds the current mix is expected to last.
 
-        What is left of the average stay; a stay that outlasts the average
-        is expected to go on for half as long as it has lasted.
+        This is what is left of the average duration; a mix that outlasts the
+        average is expected to last half as long again as it has so far.
         """
         lasted = now - self.started_at
         return max(self.average_seconds - lasted, lasted / 2)
--- a/packages/gypsumfold/src/gypsumfold/decisions/node_count.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/node_count.py
@@ -1,8 +1,8 @@
-"""How many nodes there are: heard, told, or entered in the store.
+"""Counts the nodes of the site from messages, relays and store entries.
 
-Load pattern: many nodes that start in the same moment, or whose relay has just
-taken over. Each has heard few of the others, and by that count would take a
-large share of what the site has once, such as its spare repeats.
+Load pattern: many nodes that start at the same moment, or whose relay has just
+taken over. Each has received messages from few of the others, and by that count
+would take a large share of what the site has once, such as its spare retries.
 """
 
 import math
@@ -10,12 +10,12 @@
 from gypsumfold.decisions import member_entries as member_entries_module
 from gypsumfold.decisions import members as members_module
 
-# Seconds of silence after which a node does not count as heard; also for how
-# long the largest number that was told counts.
+# Seconds of silence after which a node isn't counted, and for which the highest
+# recorded number counts.
 RECENT_SECONDS = 15.0
-# Seconds after the first reading of all entries until it is known how many
-# nodes there are: all may start at the same time, and each knows those that
-# were entered after its reading once it has heard them.
+# Seconds after the first read of all entries until the number of nodes is
+# known. All nodes may start at the same time; each learns of those that were
+# entered after its read from their messages.
 STARTUP_SECONDS = 2.0
 
 
@@ -23,13 +23,14 @@
     """Counts the nodes of the site, this one included.
 
     Attributes:
-        noted: The largest number that was noted in the last seconds.
-        told: Whether a relay has said how many there are.
-        apart: Whether it said that the others may count without this node.
-
-    >>> census = Census(members, roster)
-    >>> census.tell(195, apart=False, now=0.0)
-    >>> census.noted
+        highest: The highest number recorded in the last `RECENT_SECONDS`.
+        received: Whether a relay has reported a number.
+        partitioned: Whether it reported that the others may not count this
+            node.
+
+    >>> node_count = NodeCount(members, member_entries)
+    >>> node_count.receive(195, partitioned=False, now=0.0)
+    >>> node_count.highest
     195
     """
 
@@ -46,7 +47,7 @@
         self.highest_at = -math.inf
 
     def count_recent(self, now: float) -> int:
-        """Counts the nodes that were heard of lately by this one."""
+        """Counts the nodes seen in the last `RECENT_SECONDS`, with this one."""
         start = now - RECENT_SECONDS
         count = 1
         for name in self.members.known:
@@ -55,28 +56,28 @@
         return count
 
     def receive(self, nodes: int, partitioned: bool, now: float) -> None:
-        """Notes how many nodes there are by this node's relay."""
+        """Records the number of nodes that this node's relay reported."""
         self.received = True
         self.partitioned = partitioned
         self.record(nodes, now)
 
     def record(self, nodes: int, now: float) -> None:
-        """Notes how many nodes there are; the most of the last seconds counts.
+        """Records a number of nodes; the highest recent one counts.
 
-        Relays that have just taken over have not heard of all.
+        Relays that have just taken over don't know all nodes yet.
         """
         if nodes >= self.highest or now - self.highest_at > RECENT_SECONDS:
             self.highest = nodes
             self.highest_at = now
 
     def with_entries(self, count: int) -> int:
-        """Counts the nodes that are heard or have an entry in the store.
+        """Counts the nodes that are known or have an entry in the store.
 
-        Those that are not heard count: the two halves of a divided site would
-        else share it twice.
+        Silent nodes with an entry count too. Otherwise the two halves of a
+        partitioned site would each use the site's whole budgets.
 
         Args:
-            count: The nodes that are heard or told of.
+            count: The nodes counted from messages or by the relay.
         """
         others = (
             self.members.names_by_node.keys()
@@ -85,13 +86,14 @@
         return max(count, 1 + len(others))
 
     def is_partitioned(self, count: int, now: float) -> bool:
-        """Whether the others may count without this node by now.
+        """Whether the other nodes may no longer count this one.
 
-        Its entry was gone a moment ago; or it has not read the entries for so
-        long that its own may be gone, and does not hear all of the others.
+        Either its entry was missing a moment ago, or it hasn't read the entries
+        for so long that its own may have been removed, and it doesn't see all
+        the others.
 
         Args:
-            count: The nodes that are heard or told of.
+            count: The nodes counted from messages or by the relay.
             now: The time.
         """
         if self.member_entries.is_own_recently_missing(now):
--- a/packages/gypsumfold/src/gypsumfold/decisions/read_timeouts.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/read_timeouts.py
@@ -1,10 +1,10 @@
-"""How long reads of the store may wait before they count as lost.
+"""Derives the timeouts of store reads from the contact bound.
 
-Load pattern: each topic is followed by long reads, so that a record is known
-within milliseconds of its writing and an idle topic costs few calls. A
+Load pattern: each topic is followed by long polls, so that a record is known
+within milliseconds of its write and an idle topic costs few calls. A
 connection may go silent without a reset. The read that waits on it then ends
-by its own time limit, and the node knows nothing of the topic until a repeat
-on a new connection was answered. All of that has to fit into the time of
+only by its timeout, and the node learns nothing of the topic until a retry on
+a new connection is answered. All of that has to fit into the time of
 undisturbed contact after which a node must act on whatever the store says:
 
     pause + wait + answer + retry + answer + reserve <= contact
@@ -14,31 +14,33 @@
 
 from gypsumfold.decisions import polling
 
-# Share of the contact bound that a store may take to answer, and the most
-# seconds that is ever waited for.
+# Fraction of the contact bound that the store may take to answer, and the
+# longest time to wait for an answer.
 ANSWER_FRACTION = 0.25
 MAX_ANSWER_SECONDS = 0.8
-# Share of the contact bound that is left for a busy processor and late timers.
+# Fraction of the contact bound left for a busy processor and late timers.
 RESERVE_FRACTION = 0.1
-# Share of the contact bound after which a read that waits while another node
-# has a newer version is given up: answers to different nodes differ by less.
+# Fraction of the contact bound after which a waiting read is cancelled if
+# another node has a newer version: answers to different nodes differ by less.
 OVERDUE_FRACTION = 0.1
-# Share of the contact bound after which another node is asked for a version
-# that it has. The store goes first, as a large configuration takes a relay's
-# link longer than the store's.
+# Fraction of the contact bound after which another node is asked for a version
+# that it has. The store comes first, since a large configuration takes longer
+# over a relay's link than over the store's.
 ASK_FRACTION = 0.2
 
 
 class ReadTimeouts(NamedTuple):
-    """Seconds by which reads of the store are bounded.
+    """Timeouts of store reads, in seconds.
 
     Attributes:
-        wait: How long a read waits for a record that is not there yet.
+        wait: How long a read waits for a record that isn't there yet.
         answer: How long the store may take beyond that.
-        overdue: How long a read may wait on while another node has read more.
-        ask: How long a node lacks what another one has until it asks that.
-        age: Age of what a relay has read beyond which a node that follows
-            it reads for itself.
+        overdue_after: How long a read may keep waiting while another node has
+            read more.
+        ask_after: How long a node lacks a version that another node has until
+            it asks that node.
+        max_age: Age of a relay's last read beyond which a node that follows it
+            reads for itself.
     """
 
     wait: float
@@ -49,7 +51,7 @@
 
 
 def derive(contact: float) -> ReadTimeouts:
-    """Derives all limits from the site's contact bound.
+    """Derives all timeouts from the site's contact bound.
 
     Args:
         contact: Seconds of undisturbed contact after which a node must act on
@@ -68,13 +70,13 @@
 
 
 def wait_after(pause: float, longest: float, timeouts: ReadTimeouts) -> float:
-    """Seconds that a read waits which begins after a pause.
+    """Returns the seconds that a read may wait if it starts after a pause.
 
-    Its connection may have gone silent at any moment of the pause.
+    Its connection may have gone silent at any time during the pause.
 
     Args:
-        pause: Seconds since the read before.
+        pause: Seconds since the previous read.
         longest: Seconds that it would wait otherwise.
-        timeouts: As of `derive`.
+        timeouts: The timeouts from `derive`.
     """
     return max(0.0, min(longest, timeouts.wait - pause))
--- a/packages/gypsumfold/src/gypsumfold/decisions/retry_budget.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/retry_budget.py
@@ -1,10 +1,10 @@
-"""How many repeats of requests a node may send to a service.
+"""Limits how many retries of requests a node sends to a service.
 
 Load pattern: an outage in which every attempt fails. The budget belongs to
-the whole site; a node keeps to a share of it that still holds when callers
-spread unevenly over the nodes, since what it adds follows from its own
-requests. A process that starts again in the outage has forgotten what it sent
-before, and at first keeps to what is left beside the shares of all nodes.
+the whole site, and each node uses a share of it. The share stays valid when
+callers spread unevenly over the nodes, since it grows with the node's own
+requests. A process that restarts during the outage doesn't know what it sent
+before, so at first it uses only what the shares of all nodes leave over.
 """
 
 import collections
@@ -16,9 +16,9 @@
     """The site's budget.
 
     Attributes:
-        share: Repeats as a share of the requests of a window.
-        window: Seconds of a window.
-        slack: Repeats of the whole site in a window beyond the share.
+        share: Retries as a share of the requests in a window.
+        window: Length of a window in seconds.
+        slack: Retries of the whole site in a window beyond the share.
     """
 
     share: float
@@ -26,33 +26,34 @@
     slack: float
 
 
-# The share of the budget that nodes use; the rest covers requests that are
-# counted in another window than their repeats.
+# Fraction of the budget that nodes use; the rest covers requests that are
+# counted in another window than their retries.
 USED_FRACTION = 0.85
-# Spare repeats of a node in a window until it is known how many nodes share
-# them; sites have more for each node.
+# Spare retries of a node in a window until the number of nodes that share them
+# is known; sites have more per node.
 SPARE_IF_NODES_UNKNOWN = 2.0
-# The part of its share that a node uses while others may use the rest: in the
-# first window after a start, as it may have used the whole share just before,
-# and while the others may count without it. All nodes together then stay within
-# what USED leaves.
+# Fraction of its share that a node uses while the rest may already be used: in
+# the first window after a restart, since it may have used its whole share just
+# before, and while other nodes may not count it. All nodes together then stay
+# within what USED_FRACTION leaves.
 RESTRICTED_FRACTION = 0.15
 
 
 class RetryBudget:
-    """Counts requests and repeats of each service in a sliding window.
+    """Counts requests and retries of each service in a sliding window.
 
     Attributes:
-        nodes: Nodes that share the budget; 0 while that is not known. Nodes
-            that start at the same time and count just themselves would each
-            take all spare repeats.
-        started: When this node started again; none where the whole system
-            starts for the first time.
-        apart: Whether other nodes may share the spare repeats without this
-            one: cut off from all, it is forgotten by them.
-        chance: From 0 to 1, drawn evenly by each node: in the first window a
-            node may have less than one repeat, and hundreds of nodes are to
-            have together what they have as a sum.
+        nodes: Nodes that share the budget; 0 while unknown. Nodes that start
+            at the same time and count only themselves would each take all
+            spare retries.
+        started_at: When this node restarted; minus infinity if the whole
+            system starts for the first time.
+        partitioned: Whether other nodes may share the spare retries without
+            counting this one, since it was cut off from all of them.
+        chance: From 0 to 1, drawn uniformly by each node. In the first window
+            a node's share may be less than one retry; the chance decides
+            which nodes send one, so that hundreds of nodes together use the
+            sum of their shares.
 
     >>> budget = RetryBudget(Policy(0.2, 10.0, 52.0))
     >>> budget.nodes = 6
@@ -67,15 +68,15 @@
         self.partitioned = False
         self.nodes = 0
         self.requests: dict[str, collections.deque[float]] = {}
-        self.repeats: dict[str, collections.deque[float]] = {}
+        self.retries: dict[str, collections.deque[float]] = {}
 
     def record_request(self, service: str, now: float) -> None:
-        """Notes a caller's request for a service."""
+        """Counts a caller's request for a service."""
         seen = self.requests.setdefault(service, collections.deque())
         seen.append(now)
 
-    def spare_repeats(self) -> float:
-        """Spare repeats that this node may use in a window."""
+    def spare_retries(self) -> float:
+        """Returns the spare retries that this node may use in a window."""
         whole = USED_FRACTION * self.policy.slack
         if not self.nodes:
             return min(SPARE_IF_NODES_UNKNOWN, whole)
@@ -84,31 +85,31 @@
         return whole / self.nodes
 
     def allow(self, service: str, now: float) -> bool:
-        """Takes one repeat out of the budget, if there is one left.
+        """Takes one retry out of the budget, if one is left.
 
         Args:
-            service: Where the repeat goes.
+            service: The service that is called again.
             now: The time.
         """
         start = now - self.policy.window
         requests = trim_and_count(self.requests.get(service), start)
-        repeats = self.repeats.setdefault(service, collections.deque())
-        trim_and_count(repeats, start)
+        retries = self.retries.setdefault(service, collections.deque())
+        trim_and_count(retries, start)
         most = (
-            USED_FRACTION * self.policy.share * requests + self.spare_repeats()
+            USED_FRACTION * self.policy.share * requests + self.spare_retries()
         )
         enough = 1.0
         if self.nodes and now - self.started_at < self.policy.window:
             most *= RESTRICTED_FRACTION
             enough = self.chance
-        if len(repeats) + enough > most:
+        if len(retries) + enough > most:
             return False
-        repeats.append(now)
+        retries.append(now)
         return True
 
 
 def trim_and_count(times: collections.deque[float] | None, start: float) -> int:
-    """Drops the times before a start and counts the rest."""
+    """Drops the times before `start` and counts the rest."""
     if times is None:
         return 0
     while times and times[0] < start:
