--- a/packages/gypsumfold/src/gypsumfold/decisions/role_split.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/role_split.py
@@ -1,10 +1,10 @@
-"""How many engines read prompts and how many generate tokens.
+"""Splits the engines of a service between prefill and decode.
 
-Load pattern: a mix that swings between long prompts and long answers, on
-engines that do one of the two at a time. Right after a start nothing is
-cached and prompts need nearly all engines; minutes later most beginnings are
-cached, and the memory of the engines that generate fills first. A fixed
-split queues at one side while the other idles.
+Load pattern: a mix that shifts between long prompts and long answers, on
+engines that either prefill or decode. Right after a start nothing is cached and
+prefill needs nearly all engines; minutes later most prompt prefixes are cached,
+and the memory of the decode engines fills first. With a fixed split requests
+queue on one side while the other idles.
 """
 
 import math
@@ -12,48 +12,48 @@
 
 from gypsumfold.decisions import types
 
-# Engines of a service for each one that generates, before there is any
-# traffic: nothing is cached then.
+# Engines of a service per decode engine before there is traffic: nothing is
+# cached then.
 ENGINES_PER_DECODER = 6
-# Tokens of KV cache that are moved for each one that is read: prompts are
-# moved whole, of which engines found 2.5 cached for each one that they read
-# (calm day of long dossiers and short tags).
+# Tokens of KV cache transferred for each prefilled token. Prompts are
+# transferred complete, and engines found 2.5 of their tokens cached for each
+# one that they prefilled (calm day of long dossiers and short tags).
 TRANSFERRED_PER_PREFILLED = 2.5
-# Times as long as within a data centre that moves take on average, where two
-# in three go to another one and take twice as long.
+# Average transfer time relative to one within a data centre, if two in three
+# transfers go to another data centre and take twice as long.
 TRANSFER_TIME_FACTOR = 1.67
-# Share of the generating engines that streams may fill before another engine
-# is to generate: a full memory evicts streams midway.
+# Fraction of the decode engines that streams may fill before another one is
+# added: a full memory evicts streams midway.
 FULL_FRACTION = 0.6
-# Share from which another engine is to generate though prompts wait: behind a
-# full engine they wait as well, and with 0.9 to 1.2 of one taken the streams
-# of a mean answer of 120 tokens lasted 2 to 3 s instead of 0.6 s.
+# Fraction from which a decode engine is added although prompts wait. Behind a
+# full engine they wait as well, and with 0.9 to 1.2 of one used the streams of
+# a mean answer of 120 tokens lasted 2 to 3 s instead of 0.6 s.
 OVERFULL_FRACTION = 0.9
-# Share to which more engines are to bring it, and below which one fewer
-# would still be enough.
+# Fraction that adding engines aims at, and below which one engine fewer would
+# still be enough.
 TARGET_FRACTION = 0.5
-# Seconds of prompts that wait at each reading engine, on average: below the
-# first one an engine can be spared, above the second one is missing.
+# Average seconds of prompts waiting at each prefill engine: below the first one
+# an engine can be spared, above the second one more is needed.
 SPARE_SECONDS = 0.35
 OVERLOADED_SECONDS = 0.5
-# Share of their time for which engines read prompts as they come, refused ones
-# included, above which readers are missing: prompts of 5 to 300 ms wait for
-# several times their own reading from about there.
+# Fraction of their time that engines would prefill incoming prompts, refused
+# ones included, above which more prefill engines are needed. From about there
+# prompts of 5 to 300 ms wait for several times their own prefill.
 BUSY_FRACTION = 0.8
-# Seconds in which a load moves the estimate by two thirds: shorter than a
-# swing of the mix, longer than the gap between two large prompts.
+# Time constant of the load estimate: shorter than a shift of the mix, longer
+# than the gap between two large prompts.
 SMOOTHING_SECONDS = 0.8
-# Seconds for which a load must ask for the same split: swings of a second are
-# not followed, since a change takes an engine away for three.
+# Seconds for which the load must require the same split. Shifts of a second are
+# ignored, since a change makes an engine unavailable for three.
 STABLE_SECONDS = 1.2
-# Seconds between two changes: an engine's change takes three, and the streams
-# that waited meanwhile are gone some seconds after that; with five a second
-# engine was given away as well, for streams that had waited for the first.
+# Seconds between two changes. A role change takes three, and the streams that
+# waited meanwhile end some seconds later. With five seconds a second engine
+# changed its role too, for streams that had waited for the first.
 SETTLE_SECONDS = 8.0
-# Engines of a service for each one by which the split may be off its target
-# while the load permits it: none of six, seven of 70.
+# The split may be off its target by one engine for each so many engines of a
+# service while the load permits it: none of six, seven of 70.
 ENGINES_PER_DEVIATION = 10
-# Seconds without any traffic after which the split is that of a start.
+# Seconds without traffic after which the initial split applies again.
 IDLE_SECONDS = 5.0
 
 
@@ -62,10 +62,10 @@
 
     Attributes:
         name: Its instance.
-        data_centre: Where it stands.
-        role: What it does, or is about to do where it changes.
-        waiting: Seconds of prompts that it has to read first.
-        changing: Whether it changes its role just now, on anybody's order.
+        data_centre: Its data centre.
+        role: Its role, or its next role while it changes.
+        waiting: Seconds of prompts that it has to prefill first.
+        changing: Whether it is changing its role, on any node's order.
     """
 
     name: str
@@ -76,16 +76,16 @@
 
 
 class Load(NamedTuple):
-    """What all nodes have at a service's engines.
+    """The load of all nodes on a service's engines.
 
     Attributes:
-        prompts: Seconds of prompts that wait to be read, over all engines.
-        streams: Engines that all streams that run would fill.
-        demand: Engines that the prompts which come would keep busy. What is
-            refused for want of readers never waits, so that a queue alone
-            says least of a lack of readers where it is worst.
-        moving: Links of engines that one engine fills which reads all the
-            time: what it reads goes to those that generate.
+        prompts: Seconds of prompts that wait for prefill, over all engines.
+        streams: Number of engines that all running streams would fill.
+        demand: Number of engines that incoming prompts would keep busy.
+            Requests refused for lack of prefill engines never wait, so the
+            queue shows least where the lack is worst.
+        moving: Number of engine links that one constantly prefilling engine
+            fills, since its KV cache is transferred to decode engines.
     """
 
     prompts: float
@@ -95,14 +95,14 @@
 
 
 class Change(NamedTuple):
-    """An engine that is to have another role."""
+    """An engine and its new role."""
 
     engine: str
     role: types.Role
 
 
 class RoleSplit:
-    """Follows the load of one service and says which engines change.
+    """Tracks the load of one service and decides which engines change roles.
 
     >>> split = Split()
     >>> split.plan(engines, Load(0.0, 0.0), now=0.0)
@@ -125,10 +125,10 @@
     def plan(
         self, engines: list[EngineView], load: Load, now: float
     ) -> list[Change]:
-        """Says which engines are to change, as few as possible.
+        """Returns the engines to change, as few as possible.
 
-        Engines that come and go move the split away from its target; that
-        is made good at once. The target itself follows the load slowly.
+        If engines that start or stop move the split off its target, it is
+        corrected at once. The target itself follows the load slowly.
         """
         self.observe(load, now)
         if len(engines) < 2:
@@ -151,22 +151,22 @@
         return found
 
     def adopt_current(self, engines: list[EngineView], now: float) -> None:
-        """Takes the split that another node has left as it is.
+        """Starts from the split that another node has left.
 
-        What that node has ordered shows after the change, which takes three
-        seconds; until then no other change is wished for.
+        That node's orders show only after the change, which takes three
+        seconds; until then no other change is made.
         """
         self.target = count_decoders(engines)
         if any(engine.changing for engine in engines):
             self.changed_at = now
 
     def count_foreign_changes(self, engines: list[EngineView]) -> int:
-        """Counts engines that generate now by another node's order.
+        """Returns the net number of decode engines added by other nodes.
 
-        Taken for a fault of the split, the change that a holder of authority
-        had ordered before it froze was undone by its successor 0.1 s after
-        it had been carried out, and ordered again 4 s later: the engine was
-        away for 10 s of a burst (seen in the logs of nine nodes).
+        Without this, a change that a holder of authority had ordered before it
+        froze looked like an error of the split. Its successor undid it 0.1 s
+        after it was carried out and ordered it again 4 s later, so the engine
+        was unavailable for 10 s of a burst (seen in the logs of nine nodes).
         """
         found = 0
         for engine in engines:
@@ -179,17 +179,17 @@
     def record_roles(
         self, engines: list[EngineView], ordered: list[Change]
     ) -> None:
-        """Keeps the roles that are seen, and which engines got an order."""
+        """Records the current roles and which engines got an order."""
         self.ordered.update(change.engine for change in ordered)
         self.roles = {engine.name: engine.role for engine in engines}
         self.ordered &= self.roles.keys()
 
     def is_tolerable(self, current: int, engines: int) -> bool:
-        """Whether a split that engines brought about may stay.
+        """Whether a split that changed without an order may stay.
 
-        Engines that crash come back, and new ones generate at first: with
-        18 of 70 engines lost for 2 s, six were ordered one way and the other
-        within 3.5 s, and were away for 7 s.
+        Engines that crash come back, and new ones start as decode engines.
+        With 18 of 70 engines lost for 2 s, six were ordered to change and to
+        change back within 3.5 s, and were unavailable for 7 s.
         """
         deviation = current - self.target
         if current < 1 or abs(deviation) > engines // ENGINES_PER_DEVIATION:
@@ -199,7 +199,7 @@
         return self.has_spare_prefill(max(1, engines - current))
 
     def update_target(self, engines: int, now: float) -> None:
-        """Moves the target once a load has asked for that long enough."""
+        """Changes the target once the load has required it for long enough."""
         desired = self.desired_decoders(engines)
         if desired != self.desired:
             self.desired = desired
@@ -212,7 +212,7 @@
         self.changed_at = now
 
     def observe(self, load: Load, now: float) -> None:
-        """Takes the load in, smoothed."""
+        """Adds the load to the smoothed estimate."""
         if load.prompts > 0 or load.streams > 0:
             self.busy_at = now
         passed = (
@@ -225,7 +225,7 @@
         self.demand += weight * (load.demand - self.demand)
 
     def desired_decoders(self, engines: int) -> int:
-        """How many engines the load wants to generate."""
+        """Returns the number of decode engines that the load requires."""
         current = self.target
         step = max(1, engines // 10)
         enough = max(1, math.ceil(self.streams / TARGET_FRACTION))
@@ -244,30 +244,30 @@
         return fewer if self.is_better(fewer, current, engines) else current
 
     def has_spare_prefill(self, prefill_engines: int) -> bool:
-        """Whether so many readers have time to spare."""
+        """Whether so many prefill engines have spare capacity."""
         return (
             self.prompts / prefill_engines < SPARE_SECONDS
             and self.demand / prefill_engines < BUSY_FRACTION
         )
 
     def is_prefill_overloaded(self, prefill_engines: int) -> bool:
-        """Whether so many readers are too few."""
+        """Whether so many prefill engines are too few."""
         return (
             self.prompts / prefill_engines > OVERLOADED_SECONDS
             or self.demand / prefill_engines > BUSY_FRACTION
         )
 
     def is_better(self, decoders: int, other: int, engines: int) -> bool:
-        """Whether one split leaves less waiting than another one."""
+        """Whether one split has less pressure than another one."""
         return self.pressure(decoders, engines) < self.pressure(other, engines)
 
     def pressure(self, decoders: int, engines: int) -> float:
-        """How far a split falls short of the load, on both sides together.
+        """Returns how far a split falls short of the load, for both roles.
 
-        Either side alone took readers away at the height of a burst, when
-        streams and prompts both wait: two of five read on, at 0.35 s a prompt
-        instead of 0.05 s, until the day's end (counted in the logs of nine
-        nodes).
+        Judging either role alone removed prefill engines at the peak of a
+        burst, when streams and prompts both wait: two of five kept prefilling,
+        at 0.35 s a prompt instead of 0.05 s, until the day's end (counted in
+        the logs of nine nodes).
         """
         prompts = max(
             self.prompts / OVERLOADED_SECONDS, self.demand / BUSY_FRACTION
@@ -277,21 +277,24 @@
 
 
 def stream_share(tokens: int, memory: int, slots: int) -> float:
-    """The share of an engine that a stream takes: of its memory or slots.
+    """Returns the share of an engine's memory or slots that a stream takes.
 
-    An engine whose slots are full makes tokens at its highest rate; with
-    more streams each only waits longer.
+    An engine whose slots are full decodes at its highest rate; with more
+    streams each only waits longer.
 
     Args:
-        tokens: Of its prompt and answer.
+        tokens: Tokens of the stream's prompt and answer.
         memory: Tokens that the engine's memory holds.
-        slots: Streams that it runs at once.
+        slots: Streams that the engine runs at once.
+
+    Returns:
+        The larger of the two shares.
     """
     return max(tokens / max(1, memory), 1 / max(1, slots))
 
 
 def count_decoders(engines: list[EngineView]) -> int:
-    """Counts the engines that generate."""
+    """Counts the engines that decode."""
     found = 0
     for engine in engines:
         if engine.role != types.Role.PREFILL:
@@ -300,16 +303,16 @@
 
 
 def initial_decoders(engines: int, moving: float = 0.0) -> int:
-    """How many of so many engines generate before there is traffic.
+    """Returns the number of decode engines before there is traffic.
 
-    Nothing is cached then and most engines read, but links must take what
-    they read: with one of six to generate and 0.73 of its link taken, 14 in
-    100 of the requests of the first 6 s came late or never, with two 5 in 100
-    (a calm day, three seeds).
+    Nothing is cached then and most engines prefill, but the links must carry
+    what they transfer. With one decode engine of six and 0.73 of its link used,
+    14 in 100 of the requests of the first 6 s were late or never answered; with
+    two, 5 in 100 (a calm day, three seeds).
 
     Args:
-        engines: How many there are.
-        moving: Links that one engine fills which reads all the time.
+        engines: The number of engines.
+        moving: Number of links that one constantly prefilling engine fills.
     """
     found = max(1, round(engines / ENGINES_PER_DECODER))
     while (
@@ -321,12 +324,12 @@
 
 
 def transfer_load(token_bytes: int, link_rate: float, rate: float) -> float:
-    """Links that one engine fills which reads prompts all the time.
+    """Returns how many links one constantly prefilling engine fills.
 
     Args:
         token_bytes: KV cache of one token in bytes.
-        link_rate: Bytes a second of an engine's link; 0 if it is not known.
-        rate: Tokens a second that an engine reads.
+        link_rate: Bytes a second of an engine's link; 0 if unknown.
+        rate: Prefill rate of an engine in tokens a second.
     """
     if link_rate <= 0:
         return 0.0
@@ -342,8 +345,8 @@
 def plan_changes(engines: list[EngineView], desired: int) -> list[Change]:
     """Picks the engines to change.
 
-    Engines that generate are spread over the data centres, so that a KV
-    cache seldom has to leave its own.
+    Decode engines are spread over the data centres, so that a KV cache rarely
+    has to leave its own.
     """
     decoders = []
     prefill_engines = []
@@ -354,10 +357,10 @@
             decoders.append(engine)
     found = []
     while len(decoders) > desired:
-        spare = removable(decoders)
-        if not spare:
+        candidates = removable(decoders)
+        if not candidates:
             break
-        leaving = max(spare, key=lambda one: crowding(one, decoders))
+        leaving = max(candidates, key=lambda one: crowding(one, decoders))
         decoders.remove(leaving)
         found.append(Change(leaving.name, types.Role.PREFILL))
     while len(decoders) < desired and prefill_engines:
@@ -371,13 +374,13 @@
 
 
 def removable(decoders: list[EngineView]) -> list[EngineView]:
-    """The engines of which one may stop generating.
+    """Returns the engines of which one may stop decoding.
 
-    The last one that surely generates stays: one that still changes may have
-    crashed, or carry its order out seconds later. Given away for an engine
-    that had been ordered 4.7 s before and was gone 0.6 s after, it left none
-    for 10 s, and 314 to 317 in 1,000 requests of the day were refused (18
-    nodes, four of five plays).
+    The last decode engine that isn't changing stays: one that is changing may
+    have crashed, or may carry out its order seconds later. When the last one
+    changed its role, in favour of an engine that had been ordered 4.7 s before
+    and was lost 0.6 s after, there was none for 10 s, and 314 to 317 in 1,000
+    requests of the day were refused (18 nodes, four of five runs).
     """
     unchanging = [engine for engine in decoders if not engine.changing]
     if len(unchanging) > 1:
@@ -388,12 +391,13 @@
 def limit_changes(
     found: list[Change], engines: list[EngineView]
 ) -> list[Change]:
-    """Puts off changes that only free engines which generate, but for a few.
+    """Postpones all but a few changes from decode to prefill.
 
-    Engines that crash come back generating. With all of them ordered to read
-    at once three of five were away for 3 s, and the streams that came then
-    had one engine (1,000 of the 1,112 requests of 2 s refused, seen in the
-    logs of nine nodes). A lost one that generates is still replaced at once.
+    Engines that crash come back as decode engines. When all of them were
+    ordered to prefill at once, three of five were unavailable for 3 s, and the
+    streams that came then had one engine (1,000 of the 1,112 requests of 2 s
+    refused, seen in the logs of nine nodes). A lost decode engine is still
+    replaced at once.
     """
     limit = max(1, len(engines) // ENGINES_PER_DEVIATION)
     for engine in engines:
@@ -412,17 +416,17 @@
 def join_order(
     engine: EngineView, decoders: list[EngineView]
 ) -> tuple[float, int, str]:
-    """Sorts engines by which is to generate next.
+    """Returns the sort key for picking the next decode engine.
 
-    Where none generates the one with the least to read goes first, since it
-    changes its role only after that.
+    If there is none, the engine with the least to prefill comes first, since
+    it changes its role only after that.
     """
     waiting = 0.0 if decoders else round(engine.waiting, 1)
     return waiting, *crowding(engine, decoders)
 
 
 def crowding(engine: EngineView, decoders: list[EngineView]) -> tuple[int, str]:
-    """Sorts engines by how many decoders share their data centre."""
+    """Returns a sort key: decoders in the data centre, then the name."""
     near = 0
     for other in decoders:
         if other.data_centre == engine.data_centre:
