--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -40,7 +40,7 @@
         self.service = service
         self.retention = retention
         self.first = first
-        self.begun = begun
+        self.is_known = begun
         self.waiting: list[Noted] = []
         self.lease = leases.Lease(retention)
         self.orders = orders.Orders()
@@ -48,7 +48,7 @@
 
     def apply(self, noted: Noted, now: float) -> bool:
         """Takes one record in and returns whether it counts."""
-        if self.begun:
+        if self.is_known:
             return self.take(noted, now)
         self.waiting.append(noted)
         self.anchor(noted, now)
@@ -61,13 +61,13 @@
         chain that old may be begun anew (`leases.Lease.follows`).
         """
         self.through = offset
-        if self.begun or not self.waiting:
+        if self.is_known or not self.waiting:
             return
         while self.waiting:
             if time - self.waiting[0].time <= self.retention:
                 return
             self.waiting.pop(0)
-        self.begun = True
+        self.is_known = True
 
     def anchor(self, noted: Noted, now: float) -> None:
         """Begins at a lease record that this one proves to be valid."""
@@ -86,7 +86,7 @@
 
     def begin(self, state: records.Snapshot, now: float) -> None:
         """Loads a snapshot and applies what came after it."""
-        self.begun = True
+        self.is_known = True
         self.lease.load(state, now)
         self.orders.load(state)
         for noted in self.waiting:
@@ -142,7 +142,7 @@
 
     def closed(self) -> dict[str, int]:
         """Lists the closed engines, as far as they are known by now."""
-        if self.begun:
+        if self.is_known:
             return self.orders.closed
         found = {}
         for noted in self.waiting:
@@ -233,4 +233,4 @@
         self.begun = True
         for book in self.services.values():
             if not book.waiting:
-                book.begun = True
+                book.is_known = True
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -89,7 +89,7 @@
             await asyncio.sleep(TICK)
             if not self.journal.tail.caught_up.is_set():
                 continue
-            if not self.book.begun:
+            if not self.book.is_known:
                 continue
             await self.keep()
             await self.report()
