--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -41,7 +41,7 @@
         self.retention = retention
         self.first = first
         self.is_known = begun
-        self.waiting: list[Noted] = []
+        self.pending: list[Noted] = []
         self.lease = leases.Lease(retention)
         self.orders = orders.Orders()
         self.through = first - 1
@@ -50,7 +50,7 @@
         """Takes one record in and returns whether it counts."""
         if self.is_known:
             return self.take(noted, now)
-        self.waiting.append(noted)
+        self.pending.append(noted)
         self.anchor(noted, now)
         return False
 
@@ -61,19 +61,19 @@
         chain that old may be begun anew (`leases.Lease.follows`).
         """
         self.through = offset
-        if self.is_known or not self.waiting:
+        if self.is_known or not self.pending:
             return
-        while self.waiting:
-            if time - self.waiting[0].time <= self.retention:
+        while self.pending:
+            if time - self.pending[0].time <= self.retention:
                 return
-            self.waiting.pop(0)
+            self.pending.pop(0)
         self.is_known = True
 
     def anchor(self, noted: Noted, now: float) -> None:
         """Begins at a lease record that this one proves to be valid."""
         if not isinstance(noted.record, records.LeaseChanged):
             return
-        for candidate in self.waiting[:-1]:
+        for candidate in self.pending[:-1]:
             if candidate.offset != noted.record.previous:
                 continue
             if not isinstance(candidate.record, records.LeaseChanged):
@@ -89,10 +89,10 @@
         self.is_known = True
         self.lease.load(state, now)
         self.orders.load(state)
-        for noted in self.waiting:
+        for noted in self.pending:
             if noted.offset > state.through:
                 self.take(noted, now)
-        self.waiting = []
+        self.pending = []
 
     def take(self, noted: Noted, now: float) -> bool:
         """Applies one record to a state that is known."""
@@ -145,7 +145,7 @@
         if self.is_known:
             return self.orders.closed
         found = {}
-        for noted in self.waiting:
+        for noted in self.pending:
             if isinstance(noted.record, records.LeaseChanged):
                 found.update(noted.record.state.closed)
             if isinstance(noted.record, records.EngineClosed):
@@ -232,5 +232,5 @@
         """
         self.begun = True
         for book in self.services.values():
-            if not book.waiting:
+            if not book.pending:
                 book.is_known = True
