--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -51,7 +51,7 @@
         if self.is_known:
             return self.take(noted, now)
         self.pending.append(noted)
-        self.anchor(noted, now)
+        self.find_anchor(noted, now)
         return False
 
     def advance(self, offset: int, time: float) -> None:
@@ -69,7 +69,7 @@
             self.pending.pop(0)
         self.is_known = True
 
-    def anchor(self, noted: Noted, now: float) -> None:
+    def find_anchor(self, noted: Noted, now: float) -> None:
         """Begins at a lease record that this one proves to be valid."""
         if not isinstance(noted.record, records.LeaseChanged):
             return
