--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -81,10 +81,10 @@
             state = candidate.record.state
             if state.through + 1 < self.first:
                 return
-            self.begin(state, now)
+            self.start_from(state, now)
             return
 
-    def begin(self, state: records.Snapshot, now: float) -> None:
+    def start_from(self, state: records.Snapshot, now: float) -> None:
         """Loads a snapshot and applies what came after it."""
         self.is_known = True
         self.lease.load(state, now)
