--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -49,7 +49,7 @@
     def apply(self, noted: Noted, now: float) -> bool:
         """Takes one record in and returns whether it counts."""
         if self.is_known:
-            return self.take(noted, now)
+            return self.apply_known(noted, now)
         self.pending.append(noted)
         self.find_anchor(noted, now)
         return False
@@ -91,10 +91,10 @@
         self.orders.load(state)
         for noted in self.pending:
             if noted.offset > state.through:
-                self.take(noted, now)
+                self.apply_known(noted, now)
         self.pending = []
 
-    def take(self, noted: Noted, now: float) -> bool:
+    def apply_known(self, noted: Noted, now: float) -> bool:
         """Applies one record to a state that is known."""
         record = noted.record
         match record:
