--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -99,7 +99,7 @@
         record = noted.record
         match record:
             case records.LeaseChanged():
-                self.forget(record, noted.time, now)
+                self.restart_chain(record, noted.time, now)
                 return self.lease.apply(record, noted.offset, noted.time, now)
             case records.HolderEnded():
                 self.lease.end(record.incarnation, now)
@@ -125,7 +125,7 @@
                 return self.orders.meet(record, self.lease)
         return True
 
-    def forget(
+    def restart_chain(
         self, record: records.LeaseChanged, time: float, now: float
     ) -> None:
         """Drops what only nodes that run for longer than the log keeps know.
