--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -140,7 +140,7 @@
             self.lease.load(record.state, now)
             self.orders.load(record.state)
 
-    def closed(self) -> dict[str, int]:
+    def closed_engines(self) -> dict[str, int]:
         """Lists the closed engines, as far as they are known by now."""
         if self.is_known:
             return self.orders.closed
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -77,7 +77,7 @@
         """Lists the closed engines with the offsets of their closings."""
         found = {}
         for book in self.books.services.values():
-            found.update(book.closed())
+            found.update(book.closed_engines())
         for engine, offset in self.told.items():
             if offset > self.books.through:
                 found[engine] = max(offset, found.get(engine, -1))
