--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -190,7 +190,7 @@
         self.clock = clock
         self.first = 0
         self.through = -1
-        self.begun = True
+        self.is_known = True
         self.services: dict[str, Book] = {}
         self.listeners: list[Callable[[Noted, bool], None]] = []
 
@@ -198,7 +198,7 @@
         """Gives a service's book, a new one where there is none."""
         if service not in self.services:
             self.services[service] = Book(
-                service, self.retention, self.first, self.begun
+                service, self.retention, self.first, self.is_known
             )
             self.services[service].through = self.through
         return self.services[service]
@@ -221,7 +221,7 @@
         """Forgets everything: records between these offsets are lost."""
         self.first = first
         self.through = first - 1
-        self.begun = False
+        self.is_known = False
         self.services = {}
 
     def caught_up(self) -> None:
@@ -230,7 +230,7 @@
         A service without a record so far has no lease: the log keeps each
         record for the retention, so what it dropped has lapsed since.
         """
-        self.begun = True
+        self.is_known = True
         for book in self.services.values():
             if not book.pending:
                 book.is_known = True
