--- a/features/support/control_parts.py
+++ b/features/support/control_parts.py
@@ -70,4 +70,4 @@
 
     @property
     def book(self):
-        return self.books.book(SERVICE)
+        return self.books.service_state(SERVICE)
--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -194,7 +194,7 @@
         self.services: dict[str, Book] = {}
         self.listeners: list[Callable[[Noted, bool], None]] = []
 
-    def book(self, service: str) -> Book:
+    def service_state(self, service: str) -> Book:
         """Gives a service's book, a new one where there is none."""
         if service not in self.services:
             self.services[service] = Book(
@@ -211,7 +211,7 @@
             if not isinstance(record, records.KINDS):
                 continue
             noted = Noted(entry.offset, entry.time, record)
-            valid = self.book(record.service).apply(noted, now)
+            valid = self.service_state(record.service).apply(noted, now)
             for listener in self.listeners:
                 listener(noted, valid)
         for book in self.services.values():
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -50,7 +50,7 @@
     @property
     def book(self) -> books_module.Book:
         """The book of the service."""
-        return self.books.book(self.service)
+        return self.books.service_state(self.service)
 
     @property
     def lease(self) -> leases.Lease:
