--- a/features/steps/control_rules_steps.py
+++ b/features/steps/control_rules_steps.py
@@ -33,7 +33,7 @@
 
 def take(context, record):
     """Appends one record and lets the book read it."""
-    noted = books.Noted(context.offset, 0.0, record)
+    noted = books.LoggedRecord(context.offset, 0.0, record)
     assert context.book.apply(noted, 0.0), record
     context.offset += 1
 
--- a/features/support/control_model.py
+++ b/features/support/control_model.py
@@ -37,7 +37,7 @@
         self.void = set()
 
     def append(self, record):
-        self.log.append(books.Noted(len(self.log), self.time, record))
+        self.log.append(books.LoggedRecord(len(self.log), self.time, record))
 
     def lease_record(self, node, action):
         lease = node.book.lease
--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -14,7 +14,7 @@
 from gypsumfold.logservice import records as platform_records
 
 
-class Noted(NamedTuple):
+class LoggedRecord(NamedTuple):
     """A record with its place on the log."""
 
     offset: int
@@ -41,12 +41,12 @@
         self.retention = retention
         self.first = first
         self.is_known = begun
-        self.pending: list[Noted] = []
+        self.pending: list[LoggedRecord] = []
         self.lease = leases.Lease(retention)
         self.orders = orders.Orders()
         self.through = first - 1
 
-    def apply(self, noted: Noted, now: float) -> bool:
+    def apply(self, noted: LoggedRecord, now: float) -> bool:
         """Takes one record in and returns whether it counts."""
         if self.is_known:
             return self.apply_known(noted, now)
@@ -69,7 +69,7 @@
             self.pending.pop(0)
         self.is_known = True
 
-    def find_anchor(self, noted: Noted, now: float) -> None:
+    def find_anchor(self, noted: LoggedRecord, now: float) -> None:
         """Begins at a lease record that this one proves to be valid."""
         if not isinstance(noted.record, records.LeaseChanged):
             return
@@ -94,7 +94,7 @@
                 self.apply_known(noted, now)
         self.pending = []
 
-    def apply_known(self, noted: Noted, now: float) -> bool:
+    def apply_known(self, noted: LoggedRecord, now: float) -> bool:
         """Applies one record to a state that is known."""
         record = noted.record
         match record:
@@ -192,7 +192,7 @@
         self.through = -1
         self.is_known = True
         self.services: dict[str, Book] = {}
-        self.listeners: list[Callable[[Noted, bool], None]] = []
+        self.listeners: list[Callable[[LoggedRecord, bool], None]] = []
 
     def service_state(self, service: str) -> Book:
         """Gives a service's book, a new one where there is none."""
@@ -210,7 +210,7 @@
         for record in entry.records:
             if not isinstance(record, records.KINDS):
                 continue
-            noted = Noted(entry.offset, entry.time, record)
+            noted = LoggedRecord(entry.offset, entry.time, record)
             valid = self.service_state(record.service).apply(noted, now)
             for listener in self.listeners:
                 listener(noted, valid)
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -86,7 +86,7 @@
         self.books.caught_up()
         self.permissions.confirmed = asked
 
-    def read(self, noted: books_module.Noted, valid: bool) -> None:
+    def read(self, noted: books_module.LoggedRecord, valid: bool) -> None:
         """Passes a record on to its service."""
         held = self.services.get(noted.record.service)
         if held is not None:
