--- a/features/support/control_parts.py
+++ b/features/support/control_parts.py
@@ -59,7 +59,7 @@
             self.incarnation, f"n{number}", self.address
         )
         self.now = now * self.rate
-        self.books = books.Books(RETENTION, lambda: self.now)
+        self.books = books.ControlState(RETENTION, lambda: self.now)
         self.next = 0
         self.tenure = leases.Tenure(self.identity)
         self.checked = []
--- a/features/support/permission_model.py
+++ b/features/support/permission_model.py
@@ -28,7 +28,7 @@
     def __init__(self, rate):
         self.rate = rate
         self.now = 0.0
-        self.books = books.Books(86400.0, lambda: self.now)
+        self.books = books.ControlState(86400.0, lambda: self.now)
         self.permissions = permissions.Permissions(SETTINGS, self.books)
         self.permissions.nodes = NODES
         self.reads = []
--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -171,7 +171,7 @@
         )
 
 
-class Books:
+class ControlState:
     """The books of all services, fed by the tail of the stream.
 
     Attributes:
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -51,7 +51,9 @@
         self.identity = leases.Identity(
             node.incarnation, settings.node.name, settings.node.address
         )
-        self.books = books_module.Books(settings.platform.retention, clocks.now)
+        self.books = books_module.ControlState(
+            settings.platform.retention, clocks.now
+        )
         self.tail = logs.Tail(
             node.log,
             records.CONTROL,
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -33,7 +33,7 @@
         service: str,
         settings: settings_module.ControlSection,
         identity: leases.Identity,
-        books: books_module.Books,
+        books: books_module.ControlState,
         journal: journal_module.Journal,
     ):
         self.service = service
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -62,7 +62,7 @@
     def __init__(
         self,
         settings: settings_module.ControlSection,
-        books: books_module.Books,
+        books: books_module.ControlState,
     ):
         self.settings = settings
         self.books = books
