--- a/features/steps/control_rules_steps.py
+++ b/features/steps/control_rules_steps.py
@@ -41,7 +41,7 @@
 @behave.given("the control stream of one service with a holder")
 def step_stream(context):
     context.offset = 0
-    context.book = books.Book("dispatch", 60.0, 0, True)
+    context.book = books.ServiceState("dispatch", 60.0, 0, True)
     claim = records.LeaseChanged(
         "dispatch",
         records.CLAIM,
--- a/features/support/permission_model.py
+++ b/features/support/permission_model.py
@@ -44,7 +44,7 @@
         self.time = 0.0
         self.nodes = [Node(rate) for rate in RATES]
         self.log = []
-        state = books.Book(SERVICE, 86400.0, 0, True).snapshot()
+        state = books.ServiceState(SERVICE, 86400.0, 0, True).snapshot()
         self.append(
             records.LeaseChanged(
                 SERVICE, "claim", "n", "n", "::1", 1, -1, -1, state
--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -22,7 +22,7 @@
     record: records.Record
 
 
-class Book:
+class ServiceState:
     """The lease and the orders of one service.
 
     Attributes:
@@ -191,13 +191,13 @@
         self.first = 0
         self.through = -1
         self.is_known = True
-        self.services: dict[str, Book] = {}
+        self.services: dict[str, ServiceState] = {}
         self.listeners: list[Callable[[LoggedRecord, bool], None]] = []
 
-    def service_state(self, service: str) -> Book:
+    def service_state(self, service: str) -> ServiceState:
         """Gives a service's book, a new one where there is none."""
         if service not in self.services:
-            self.services[service] = Book(
+            self.services[service] = ServiceState(
                 service, self.retention, self.first, self.is_known
             )
             self.services[service].through = self.through
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -48,7 +48,7 @@
         self.stopping = False
 
     @property
-    def book(self) -> books_module.Book:
+    def book(self) -> books_module.ServiceState:
         """The book of the service."""
         return self.books.service_state(self.service)
 
