--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -74,14 +74,14 @@
         self.again: dict[str, float] = {}
         self.tasks: set[asyncio.Task] = set()
         self.planned: Callable[[str], str | None] = lambda engine: None
-        leasing.settled = self.settled
+        leasing.settled = self.is_settled
 
     @property
     def known(self) -> orders.Orders:
         """What the log says of the service's orders."""
         return self.leasing.book.orders
 
-    def settled(self) -> bool:
+    def is_settled(self) -> bool:
         """Whether nothing that this process sent can be on its way."""
         limit = clocks.now() - self.settings.control.quarantine
         return all(given_up < limit for given_up in self.sends.values())
