--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -86,7 +86,7 @@
         limit = clocks.now() - self.settings.control.quarantine
         return all(given_up < limit for given_up in self.sends.values())
 
-    def controls(self, engine: Engine) -> bool:
+    def can_order(self, engine: Engine) -> bool:
         """Whether this node may give the engine orders at this instant."""
         if not self.leasing.valid() or self.leasing.stopping:
             return False
@@ -126,7 +126,7 @@
         closed = engine.name in self.known.closed
         if not closed and not self.lacks(engine, engine.role):
             return
-        if not self.controls(engine) or not self.room(engine):
+        if not self.can_order(engine) or not self.room(engine):
             return
         state = await self.sender.state(engine.declared.address)
         wanted = self.choose(engine, state)
@@ -280,7 +280,7 @@
         self, engine: Engine, order: records.Order, state: orders.EngineState
     ) -> None:
         """Gives an order anew, with a token that shuts the first one out."""
-        if not self.controls(engine) or not self.due(engine):
+        if not self.can_order(engine) or not self.due(engine):
             return
         if await self.idle(engine, order.verb):
             wanted = wishes.Next(order.verb, order.subject, order.wish, "")
