--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -124,7 +124,7 @@
             return
         self.blocked.discard(engine.name)
         closed = engine.name in self.known.closed
-        if not closed and not self.lacks(engine, engine.role):
+        if not closed and not self.has_work(engine, engine.role):
             return
         if not self.can_order(engine) or not self.room(engine):
             return
@@ -139,7 +139,7 @@
         if await self.idle(engine, wanted.verb):
             await self.intend(engine, wanted, state, "")
 
-    def lacks(self, engine: Engine, role: str) -> bool:
+    def has_work(self, engine: Engine, role: str) -> bool:
         """Whether there seems to be something to do, by the last report."""
         if self.known.wishes.get(engine.name):
             return True
