--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -133,7 +133,7 @@
         if wanted is not None and wishes.met(wanted, state):
             await self.meet(engine, wanted)
             return
-        if wanted is None or not self.due(engine):
+        if wanted is None or not self.is_due(engine):
             await self.open(engine)
             return
         if await self.idle(engine, wanted.verb):
@@ -160,7 +160,7 @@
             state,
         )
 
-    def due(self, engine: Engine) -> bool:
+    def is_due(self, engine: Engine) -> bool:
         """Whether enough time has passed since a try that failed."""
         return clocks.now() >= self.again.get(engine.name, float("-inf"))
 
@@ -280,7 +280,7 @@
         self, engine: Engine, order: records.Order, state: orders.EngineState
     ) -> None:
         """Gives an order anew, with a token that shuts the first one out."""
-        if not self.can_order(engine) or not self.due(engine):
+        if not self.can_order(engine) or not self.is_due(engine):
             return
         if await self.idle(engine, order.verb):
             wanted = wishes.Next(order.verb, order.subject, order.wish, "")
