--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -164,7 +164,7 @@
         """Whether enough time has passed since a try that failed."""
         return clocks.now() >= self.again.get(engine.name, float("-inf"))
 
-    def count(self, engine: Engine) -> None:
+    def count_attempt(self, engine: Engine) -> None:
         """Counts one try and works out when the next is due."""
         tries = self.tries.get(engine.name, 0)
         wait = min(FIRST_RETRY * 2**tries, LAST_RETRY)
@@ -231,7 +231,7 @@
         supersedes: str,
     ) -> None:
         """Writes an order down; it is sent once it was read back."""
-        self.count(engine)
+        self.count_attempt(engine)
         await self.leasing.journal.write(
             records.OrderIntended(
                 self.leasing.service,
