--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -126,7 +126,7 @@
         closed = engine.name in self.known.closed
         if not closed and not self.has_work(engine, engine.role):
             return
-        if not self.can_order(engine) or not self.room(engine):
+        if not self.can_order(engine) or not self.can_take_out(engine):
             return
         state = await self.sender.state(engine.declared.address)
         wanted = self.choose(engine, state)
@@ -171,7 +171,7 @@
         self.tries[engine.name] = tries + 1
         self.again[engine.name] = clocks.now() + wait
 
-    def room(self, engine: Engine) -> bool:
+    def can_take_out(self, engine: Engine) -> bool:
         """Whether this engine may be taken away besides the others.
 
         This rations the weight store, too: each load is a change.
