--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -131,7 +131,7 @@
         state = await self.sender.state(engine.declared.address)
         wanted = self.choose(engine, state)
         if wanted is not None and wishes.met(wanted, state):
-            await self.meet(engine, wanted)
+            await self.record_met(engine, wanted)
             return
         if wanted is None or not self.is_due(engine):
             await self.open(engine)
@@ -180,7 +180,7 @@
         taken -= {engine.name, *self.blocked}
         return len(taken) < self.settings.control.changes
 
-    async def meet(self, engine: Engine, wanted: wishes.Next) -> None:
+    async def record_met(self, engine: Engine, wanted: wishes.Next) -> None:
         """Notes that a wish is fulfilled already."""
         await self.leasing.journal.write(
             records.WishMet(
