--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -134,7 +134,7 @@
             await self.record_met(engine, wanted)
             return
         if wanted is None or not self.is_due(engine):
-            await self.open(engine)
+            await self.reopen(engine)
             return
         if await self.idle(engine, wanted.verb):
             await self.intend(engine, wanted, state, "")
@@ -192,7 +192,7 @@
             )
         )
 
-    async def open(self, engine: Engine) -> None:
+    async def reopen(self, engine: Engine) -> None:
         """Lets nodes dispatch to the engine again."""
         self.closer.forget(engine.name)
         if engine.name not in self.known.closed:
