--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -136,7 +136,7 @@
         if wanted is None or not self.is_due(engine):
             await self.reopen(engine)
             return
-        if await self.idle(engine, wanted.verb):
+        if await self.close_until_idle(engine, wanted.verb):
             await self.intend(engine, wanted, state, "")
 
     def has_work(self, engine: Engine, role: str) -> bool:
@@ -203,7 +203,7 @@
             )
         )
 
-    async def idle(self, engine: Engine, verb: str) -> bool:
+    async def close_until_idle(self, engine: Engine, verb: str) -> bool:
         """Closes an engine; whether nothing runs and nothing can come."""
         if verb == "load":
             return True
@@ -282,7 +282,7 @@
         """Gives an order anew, with a token that shuts the first one out."""
         if not self.can_order(engine) or not self.is_due(engine):
             return
-        if await self.idle(engine, order.verb):
+        if await self.close_until_idle(engine, order.verb):
             wanted = wishes.Next(order.verb, order.subject, order.wish, "")
             await self.intend(engine, wanted, state, order.id)
 
