--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -137,7 +137,7 @@
             await self.reopen(engine)
             return
         if await self.close_until_idle(engine, wanted.verb):
-            await self.intend(engine, wanted, state, "")
+            await self.record_intent(engine, wanted, state, "")
 
     def has_work(self, engine: Engine, role: str) -> bool:
         """Whether there seems to be something to do, by the last report."""
@@ -223,7 +223,7 @@
         state = await self.sender.state(engine.declared.address)
         return state.running == 0
 
-    async def intend(
+    async def record_intent(
         self,
         engine: Engine,
         wanted: wishes.Next,
@@ -284,7 +284,7 @@
             return
         if await self.close_until_idle(engine, order.verb):
             wanted = wishes.Next(order.verb, order.subject, order.wish, "")
-            await self.intend(engine, wanted, state, order.id)
+            await self.record_intent(engine, wanted, state, order.id)
 
     async def send(self, engine: Engine, order: records.Order) -> None:
         """Sends an order once and notes what is known of it."""
