--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -120,7 +120,7 @@
         """Does the next thing for one engine."""
         order = self.known.outstanding.get(engine.name)
         if order is not None:
-            await self.settle(engine, order)
+            await self.handle_outstanding(engine, order)
             return
         self.blocked.discard(engine.name)
         closed = engine.name in self.known.closed
@@ -248,7 +248,9 @@
             )
         )
 
-    async def settle(self, engine: Engine, order: records.Order) -> None:
+    async def handle_outstanding(
+        self, engine: Engine, order: records.Order
+    ) -> None:
         """Sends an outstanding order, or finds out what became of it."""
         mine = order.author == self.leasing.identity.incarnation
         if mine and order.id not in self.sends:
