--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -276,7 +276,7 @@
         if found == orders.Resolution.SUPERSEDE:
             await self.supersede(engine, order, state)
             return
-        await self.finish(engine, order, found.value)
+        await self.record_result(engine, order, found.value)
 
     async def supersede(
         self, engine: Engine, order: records.Order, state: orders.EngineState
@@ -312,7 +312,7 @@
         self.sends[order.id] = clocks.now()
         if answer != sending.Answer.UNKNOWN:
             self.sends[order.id] = float("-inf")
-            await self.finish(engine, order, answer.value)
+            await self.record_result(engine, order, answer.value)
 
     def may_send(self, engine: Engine, order: records.Order) -> bool:
         """Whether the order's bytes may be written at this instant."""
@@ -327,7 +327,7 @@
             self.settings.control,
         )
 
-    async def finish(
+    async def record_result(
         self, engine: Engine, order: records.Order, result: str
     ) -> None:
         """Writes an order's result down."""
