--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -77,7 +77,7 @@
         leasing.settled = self.is_settled
 
     @property
-    def known(self) -> orders.Orders:
+    def logged_orders(self) -> orders.Orders:
         """What the log says of the service's orders."""
         return self.leasing.book.orders
 
@@ -110,7 +110,9 @@
 
     def prune(self) -> None:
         """Forgets sent orders that are resolved and cannot be on their way."""
-        open_ids = {order.id for order in self.known.outstanding.values()}
+        open_ids = {
+            order.id for order in self.logged_orders.outstanding.values()
+        }
         limit = clocks.now() - self.settings.control.quarantine
         for order_id, given_up in list(self.sends.items()):
             if order_id not in open_ids and given_up < limit:
@@ -118,12 +120,12 @@
 
     async def step(self, engine: Engine) -> None:
         """Does the next thing for one engine."""
-        order = self.known.outstanding.get(engine.name)
+        order = self.logged_orders.outstanding.get(engine.name)
         if order is not None:
             await self.handle_outstanding(engine, order)
             return
         self.blocked.discard(engine.name)
-        closed = engine.name in self.known.closed
+        closed = engine.name in self.logged_orders.closed
         if not closed and not self.has_work(engine, engine.role):
             return
         if not self.can_order(engine) or not self.can_take_out(engine):
@@ -141,7 +143,7 @@
 
     def has_work(self, engine: Engine, role: str) -> bool:
         """Whether there seems to be something to do, by the last report."""
-        if self.known.wishes.get(engine.name):
+        if self.logged_orders.wishes.get(engine.name):
             return True
         state = orders.EngineState(
             "", role, frozenset(), 0, False, "", True, -1
@@ -153,8 +155,8 @@
     ) -> wishes.Next | None:
         """Picks the next order for an engine."""
         return wishes.choose(
-            self.known.wishes.get(engine.name, []),
-            self.known.pins.get(engine.name),
+            self.logged_orders.wishes.get(engine.name, []),
+            self.logged_orders.pins.get(engine.name),
             engine.declared,
             self.planned(engine.name),
             state,
@@ -176,7 +178,7 @@
 
         This rations the weight store, too: each load is a change.
         """
-        taken = {*self.known.closed, *self.known.outstanding}
+        taken = {*self.logged_orders.closed, *self.logged_orders.outstanding}
         taken -= {engine.name, *self.blocked}
         return len(taken) < self.settings.control.changes
 
@@ -195,7 +197,7 @@
     async def reopen(self, engine: Engine) -> None:
         """Lets nodes dispatch to the engine again."""
         self.closer.forget(engine.name)
-        if engine.name not in self.known.closed:
+        if engine.name not in self.logged_orders.closed:
             return
         await self.leasing.journal.write(
             records.EngineOpened(
@@ -207,7 +209,7 @@
         """Closes an engine; whether nothing runs and nothing can come."""
         if verb == "load":
             return True
-        offset = self.known.closed.get(engine.name)
+        offset = self.logged_orders.closed.get(engine.name)
         if offset is None:
             await self.leasing.journal.write(
                 records.EngineClosed(
@@ -316,7 +318,7 @@
 
     def may_send(self, engine: Engine, order: records.Order) -> bool:
         """Whether the order's bytes may be written at this instant."""
-        if self.known.outstanding.get(engine.name) != order:
+        if self.logged_orders.outstanding.get(engine.name) != order:
             return False
         return orders.may_send(
             order,
