--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -70,7 +70,7 @@
         self.new_id = new_id
         self.sends: dict[str, float] = {}
         self.blocked: set[str] = set()
-        self.tries: dict[str, int] = {}
+        self.attempts: dict[str, int] = {}
         self.again: dict[str, float] = {}
         self.tasks: set[asyncio.Task] = set()
         self.planned: Callable[[str], str | None] = lambda engine: None
@@ -168,9 +168,9 @@
 
     def count_attempt(self, engine: Engine) -> None:
         """Counts one try and works out when the next is due."""
-        tries = self.tries.get(engine.name, 0)
+        tries = self.attempts.get(engine.name, 0)
         wait = min(FIRST_RETRY * 2**tries, LAST_RETRY)
-        self.tries[engine.name] = tries + 1
+        self.attempts[engine.name] = tries + 1
         self.again[engine.name] = clocks.now() + wait
 
     def can_take_out(self, engine: Engine) -> bool:
@@ -334,7 +334,7 @@
     ) -> None:
         """Writes an order's result down."""
         if result == orders.Resolution.DONE:
-            self.tries.pop(engine.name, None)
+            self.attempts.pop(engine.name, None)
             self.again.pop(engine.name, None)
         events.log(
             events.ORDER_ENDED,
