--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -71,7 +71,7 @@
         self.sends: dict[str, float] = {}
         self.blocked: set[str] = set()
         self.attempts: dict[str, int] = {}
-        self.again: dict[str, float] = {}
+        self.next_attempt_at: dict[str, float] = {}
         self.tasks: set[asyncio.Task] = set()
         self.planned: Callable[[str], str | None] = lambda engine: None
         leasing.settled = self.is_settled
@@ -164,14 +164,16 @@
 
     def is_due(self, engine: Engine) -> bool:
         """Whether enough time has passed since a try that failed."""
-        return clocks.now() >= self.again.get(engine.name, float("-inf"))
+        return clocks.now() >= self.next_attempt_at.get(
+            engine.name, float("-inf")
+        )
 
     def count_attempt(self, engine: Engine) -> None:
         """Counts one try and works out when the next is due."""
         tries = self.attempts.get(engine.name, 0)
         wait = min(FIRST_RETRY * 2**tries, LAST_RETRY)
         self.attempts[engine.name] = tries + 1
-        self.again[engine.name] = clocks.now() + wait
+        self.next_attempt_at[engine.name] = clocks.now() + wait
 
     def can_take_out(self, engine: Engine) -> bool:
         """Whether this engine may be taken away besides the others.
@@ -335,7 +337,7 @@
         """Writes an order's result down."""
         if result == orders.Resolution.DONE:
             self.attempts.pop(engine.name, None)
-            self.again.pop(engine.name, None)
+            self.next_attempt_at.pop(engine.name, None)
         events.log(
             events.ORDER_ENDED,
             engine=engine.name,
