--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -73,7 +73,7 @@
         self.attempts: dict[str, int] = {}
         self.next_attempt_at: dict[str, float] = {}
         self.tasks: set[asyncio.Task] = set()
-        self.planned: Callable[[str], str | None] = lambda engine: None
+        self.planned_role: Callable[[str], str | None] = lambda engine: None
         leasing.settled = self.is_settled
 
     @property
@@ -158,7 +158,7 @@
             self.logged_orders.wishes.get(engine.name, []),
             self.logged_orders.pins.get(engine.name),
             engine.declared,
-            self.planned(engine.name),
+            self.planned_role(engine.name),
             state,
         )
 
