--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -21,7 +21,7 @@
 from gypsumfold.control import wishes
 
 # Seconds between two looks at the engines.
-TICK = 0.1
+CHECK_INTERVAL = 0.1
 # Seconds until an order's answer is given up and the engine's state read
 # instead; a role change takes seconds.
 ANSWER_LIMIT = 10.0
@@ -97,7 +97,7 @@
     async def run(self) -> None:
         """Goes on for as long as the service is declared."""
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(CHECK_INTERVAL)
             self.prune()
             for engine in self.engines():
                 if not self.leasing.valid() or self.leasing.stopping:
