--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -24,7 +24,7 @@
 CHECK_INTERVAL = 0.1
 # Seconds until an order's answer is given up and the engine's state read
 # instead; a role change takes seconds.
-ANSWER_LIMIT = 10.0
+ANSWER_TIMEOUT = 10.0
 # Seconds between an engine's first order and the next while none succeeds,
 # doubled each time up to the most: a failing engine is not to fill the log,
 # which takes several hundred appends a second from all services together.
@@ -309,7 +309,7 @@
             subject=order.subject,
         )
         answer = await self.sender.send(
-            engine.declared.address, order, check, ANSWER_LIMIT
+            engine.declared.address, order, check, ANSWER_TIMEOUT
         )
         if self.sends[order.id] == float("-inf"):
             return
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -23,7 +23,7 @@
 # lost, and each may take as long as it waits.
 READS = 4
 # Seconds that a node which stops waits for its orders' answers.
-STOP_LIMIT = 2 * changing.ANSWER_LIMIT
+STOP_LIMIT = 2 * changing.ANSWER_TIMEOUT
 
 
 class Held(NamedTuple):
