--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -29,7 +29,7 @@
 # doubled each time up to the most: a failing engine is not to fill the log,
 # which takes several hundred appends a second from all services together.
 FIRST_RETRY_SECONDS = 0.5
-LAST_RETRY = 60.0
+MAX_RETRY_SECONDS = 60.0
 
 
 class Engine(NamedTuple):
@@ -171,7 +171,7 @@
     def count_attempt(self, engine: Engine) -> None:
         """Counts one try and works out when the next is due."""
         tries = self.attempts.get(engine.name, 0)
-        wait = min(FIRST_RETRY_SECONDS * 2**tries, LAST_RETRY)
+        wait = min(FIRST_RETRY_SECONDS * 2**tries, MAX_RETRY_SECONDS)
         self.attempts[engine.name] = tries + 1
         self.next_attempt_at[engine.name] = clocks.now() + wait
 
