--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -40,7 +40,7 @@
     role: str
 
 
-class Changes:
+class OrderExecutor:
     """The changes of one service's engines, while this node is the holder.
 
     Attributes:
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -30,7 +30,7 @@
     """What runs for one service."""
 
     leasing: leasing_module.Leasing
-    changes: changing.Changes
+    changes: changing.OrderExecutor
 
 
 class Control:
@@ -118,7 +118,7 @@
             self.journal,
         )
         leasing.gone = self.evidence.gone
-        changes = changing.Changes(
+        changes = changing.OrderExecutor(
             self.settings,
             leasing,
             self.closer,
