--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -47,7 +47,7 @@
         self.permissions = permissions
         self.tail = tail
         self.peers = peers
-        self.majorities: dict[Closing, float] = {}
+        self.majority_since: dict[Closing, float] = {}
         peers.handle("control.closed", thrift.Nothing, self.on_closed)
         peers.handle("control.close", thrift.ClosedEngine, self.on_close)
 
@@ -116,16 +116,16 @@
             acknowledged += 1
             running += reply
         if 2 * acknowledged > nodes:
-            self.majorities.setdefault(closing, clocks.now())
-        since = self.majorities.get(closing, asked)
+            self.majority_since.setdefault(closing, clocks.now())
+        since = self.majority_since.get(closing, asked)
         return running == 0 and permissions_module.lapsed(
             acknowledged, nodes, asked - since, self.permissions.settings
         )
 
     def forget(self, engine: str) -> None:
         """Forgets an engine's closings: it is open again."""
-        for closing in [c for c in self.majorities if c.engine == engine]:
-            del self.majorities[closing]
+        for closing in [c for c in self.majority_since if c.engine == engine]:
+            del self.majority_since[closing]
 
     async def close(self, address: str, closing: Closing) -> int | None:
         """Closes an engine on one peer; None if it did not answer."""
