--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -221,7 +221,7 @@
                 )
             )
             return False
-        quiet = await self.closer.quiet(closing.Closing(engine.name, offset))
+        quiet = await self.closer.is_quiet(closing.Closing(engine.name, offset))
         if not quiet:
             return False
         state = await self.sender.state(engine.declared.address)
--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -101,7 +101,7 @@
         closed = {each.engine: each.offset for each in reply.closed}
         self.permissions.merge(address, asked, reply.through, closed)
 
-    async def quiet(self, closing: Closing) -> bool:
+    async def is_quiet(self, closing: Closing) -> bool:
         """Whether no node dispatches to a closed engine any more."""
         asked = clocks.now()
         addresses = list(self.peers.links)
