--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -100,7 +100,7 @@
                 lease.holder.incarnation,
                 lease.holder.token,
                 lease.released,
-                round(clocks.now() - lease.heard, 3),
+                round(clocks.now() - lease.received_at, 3),
                 " ".join(doubted),
             )
         )
--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -44,7 +44,7 @@
         self.retention = retention
         self.last = -1
         self.time = 0.0
-        self.heard = 0.0
+        self.received_at = 0.0
         self.holder: records.Holder | None = None
         self.released = False
         self.predecessors: list[records.Holder] = []
@@ -137,7 +137,7 @@
         """Remembers the last valid record."""
         self.last = offset
         self.time = time
-        self.heard = now
+        self.received_at = now
 
     def end(self, incarnation: str, now: float) -> None:
         """Notes that an incarnation is gone, in all its tenures."""
@@ -171,7 +171,7 @@
         """Whether this node may append a claim now."""
         if self.holder is None or self.released:
             return True
-        return now > self.heard + settings.duration + settings.drift
+        return now > self.received_at + settings.duration + settings.drift
 
     def undisputed(
         self, now: float, settings: settings_module.ControlSection
@@ -207,7 +207,7 @@
         """Starts from what another node had read."""
         self.last = state.last
         self.time = state.time
-        self.heard = now
+        self.received_at = now
         self.holder = state.holder
         self.released = state.released
         self.predecessors = list(state.predecessors)
