--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -48,7 +48,7 @@
         self.holder: records.Holder | None = None
         self.released = False
         self.predecessors: list[records.Holder] = []
-        self.ended: dict[int, float] = {}
+        self.ended_at: dict[int, float] = {}
 
     def apply(
         self,
@@ -144,12 +144,12 @@
         holder = self.holder
         if holder is not None and holder.incarnation == incarnation:
             self.holder = holder._replace(ended=True)
-            self.ended.setdefault(holder.token, now)
+            self.ended_at.setdefault(holder.token, now)
         for place, holder in enumerate(self.predecessors):
             if holder.ended or holder.incarnation != incarnation:
                 continue
             self.predecessors[place] = holder._replace(ended=True)
-            self.ended[holder.token] = now
+            self.ended_at[holder.token] = now
 
     def seize(
         self, incarnation: str, offset: int, time: float, now: float
@@ -195,13 +195,13 @@
         """Whether an earlier holder is gone and its quarantine over."""
         if not holder.ended:
             return False
-        return now > self.ended[holder.token] + settings.quarantine
+        return now > self.ended_at[holder.token] + settings.quarantine
 
     def clear(self, token: int) -> None:
         """Forgets an earlier tenure: its quarantine is over."""
         kept = [h for h in self.predecessors if h.token != token]
         self.predecessors = kept
-        self.ended.pop(token, None)
+        self.ended_at.pop(token, None)
 
     def load(self, state: records.Snapshot, now: float) -> None:
         """Starts from what another node had read."""
@@ -211,10 +211,10 @@
         self.holder = state.holder
         self.released = state.released
         self.predecessors = list(state.predecessors)
-        self.ended = {}
+        self.ended_at = {}
         for holder in (*state.predecessors, state.holder):
             if holder is not None and holder.ended:
-                self.ended[holder.token] = now
+                self.ended_at[holder.token] = now
 
 
 class Tenure:
