--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -136,7 +136,7 @@
         begins = record.action == records.CLAIM and record.previous == -1
         if not begins or self.lease.last == -1:
             return
-        if self.lease.follows(-1, time):
+        if self.lease.is_next(-1, time):
             self.lease.load(record.state, now)
             self.orders.load(record.state)
 
--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -70,7 +70,7 @@
         """
         if record.action == records.RELEASE:
             return self.release(record, offset, time, now)
-        if not self.follows(record.previous, time):
+        if not self.is_next(record.previous, time):
             return False
         if record.action == records.RENEW:
             if not self.held_by(record.incarnation, record.token):
@@ -80,7 +80,7 @@
         self.note(offset, time, now)
         return True
 
-    def follows(self, previous: int, time: float) -> bool:
+    def is_next(self, previous: int, time: float) -> bool:
         """Whether a record that names ``previous`` is next in the chain.
 
         A chain older than the log's retention may be begun anew, since a
