--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -73,7 +73,7 @@
         if not self.is_next(record.previous, time):
             return False
         if record.action == records.RENEW:
-            if not self.held_by(record.incarnation, record.token):
+            if not self.is_held_by(record.incarnation, record.token):
                 return False
         else:
             self.grant(record, offset)
@@ -111,7 +111,7 @@
         Its own holder alone writes this, when nothing that it sent is on its
         way; so a late one counts for its token too.
         """
-        if self.held_by(record.incarnation, record.token):
+        if self.is_held_by(record.incarnation, record.token):
             self.released = True
             self.note(offset, time, now)
             return True
@@ -124,7 +124,7 @@
                 return True
         return False
 
-    def held_by(self, incarnation: str, token: int) -> bool:
+    def is_held_by(self, incarnation: str, token: int) -> bool:
         """Whether this tenure is the last one and was not released."""
         if self.holder is None or self.released:
             return False
@@ -156,7 +156,7 @@
     ) -> None:
         """Ends an incarnation's tenures: an operator vouches for that."""
         holder = self.holder
-        if holder is not None and self.held_by(incarnation, holder.token):
+        if holder is not None and self.is_held_by(incarnation, holder.token):
             self.released = True
             self.note(offset, time, now)
         kept = []
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -62,11 +62,13 @@
         holder = self.lease.holder
         if holder is None:
             return False
-        return self.lease.held_by(self.identity.incarnation, holder.token)
+        return self.lease.is_held_by(self.identity.incarnation, holder.token)
 
     def valid(self) -> bool:
         """Whether this node may act as the holder at this instant."""
-        holds = self.lease.held_by(self.identity.incarnation, self.tenure.token)
+        holds = self.lease.is_held_by(
+            self.identity.incarnation, self.tenure.token
+        )
         return holds and self.tenure.valid(clocks.now())
 
     def read(self, noted: books_module.LoggedRecord, valid: bool) -> None:
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -119,7 +119,7 @@
         self, record: records.OrderIntended, offset: int, lease: leases.Lease
     ) -> bool:
         """Takes an intent in; valid from the holder, one for each engine."""
-        if not lease.held_by(record.author, record.lease):
+        if not lease.is_held_by(record.author, record.lease):
             return False
         current = self.outstanding.get(record.engine)
         if current is not None and current.id != record.supersedes:
@@ -257,6 +257,6 @@
         return False
     if not tenure.valid(now):
         return False
-    if not lease.held_by(order.author, tenure.token):
+    if not lease.is_held_by(order.author, tenure.token):
         return False
     return checks or lease.undisputed(now, settings)
