--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -165,7 +165,7 @@
                 kept.append(holder)
         self.predecessors = kept
 
-    def claimable(
+    def is_claimable(
         self, now: float, settings: settings_module.ControlSection
     ) -> bool:
         """Whether this node may append a claim now."""
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -107,11 +107,11 @@
                 await self.write(records.RENEW, self.lease.holder.token)
             return
         await self.retire()
-        if not self.lease.claimable(now, self.settings):
+        if not self.lease.is_claimable(now, self.settings):
             return
         # Nodes whose wait ends together seldom claim together.
         await asyncio.sleep(random.random() * self.settings.renewal / 4)
-        if self.lease.claimable(clocks.now(), self.settings):
+        if self.lease.is_claimable(clocks.now(), self.settings):
             self.renewed = clocks.now()
             await self.write(records.CLAIM, -1)
 
