--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -90,8 +90,11 @@
         """Whether this node may give the engine orders at this instant."""
         if not self.leasing.valid() or self.leasing.stopping:
             return False
-        return engine.declared.checks_tokens or self.leasing.lease.undisputed(
-            clocks.now(), self.settings.control
+        return (
+            engine.declared.checks_tokens
+            or self.leasing.lease.is_undisputed(
+                clocks.now(), self.settings.control
+            )
         )
 
     async def run(self) -> None:
@@ -266,7 +269,7 @@
         if self.sends.get(order.id) == float("inf"):
             return
         now = clocks.now()
-        silent = self.leasing.lease.undisputed(now, self.settings.control)
+        silent = self.leasing.lease.is_undisputed(now, self.settings.control)
         if mine:
             quarantine = self.settings.control.quarantine
             silent = now > self.sends[order.id] + quarantine
--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -173,7 +173,7 @@
             return True
         return now > self.received_at + settings.duration + settings.drift
 
-    def undisputed(
+    def is_undisputed(
         self, now: float, settings: settings_module.ControlSection
     ) -> bool:
         """Whether no earlier holder can reach an engine that checks nothing.
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -259,4 +259,4 @@
         return False
     if not lease.is_held_by(order.author, tenure.token):
         return False
-    return checks or lease.undisputed(now, settings)
+    return checks or lease.is_undisputed(now, settings)
