--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -182,11 +182,11 @@
         than its connections can go on sending (TCP_USER_TIMEOUT, RFC 5482).
         """
         for holder in self.predecessors:
-            if not self.harmless(holder, now, settings):
+            if not self.is_harmless(holder, now, settings):
                 return False
         return True
 
-    def harmless(
+    def is_harmless(
         self,
         holder: records.Holder,
         now: float,
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -130,7 +130,7 @@
             return
         now = clocks.now()
         for holder in list(self.lease.predecessors):
-            if self.lease.harmless(holder, now, self.settings):
+            if self.lease.is_harmless(holder, now, self.settings):
                 await self.journal.write(
                     records.HolderCleared(
                         self.service, self.tenure.token, holder.token
