--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -77,7 +77,7 @@
                 return False
         else:
             self.grant(record, offset)
-        self.note(offset, time, now)
+        self.set_last(offset, time, now)
         return True
 
     def is_next(self, previous: int, time: float) -> bool:
@@ -113,7 +113,7 @@
         """
         if self.is_held_by(record.incarnation, record.token):
             self.released = True
-            self.note(offset, time, now)
+            self.set_last(offset, time, now)
             return True
         for holder in self.predecessors:
             if (holder.token, holder.incarnation) == (
@@ -133,7 +133,7 @@
             token,
         )
 
-    def note(self, offset: int, time: float, now: float) -> None:
+    def set_last(self, offset: int, time: float, now: float) -> None:
         """Remembers the last valid record."""
         self.last = offset
         self.time = time
@@ -158,7 +158,7 @@
         holder = self.holder
         if holder is not None and self.is_held_by(incarnation, holder.token):
             self.released = True
-            self.note(offset, time, now)
+            self.set_last(offset, time, now)
         kept = []
         for holder in self.predecessors:
             if holder.incarnation != incarnation:
