--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -237,7 +237,7 @@
         self.token = -1
         self.until = float("-inf")
 
-    def sending(self, now: float) -> int:
+    def next_sequence(self, now: float) -> int:
         """Numbers a claim or renewal that is sent after this instant."""
         self.sequence += 1
         self.sent[self.sequence] = now
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -153,7 +153,7 @@
 
     async def write(self, action: str, token: int) -> None:
         """Appends one lease record."""
-        sequence = self.tenure.sending(clocks.now())
+        sequence = self.tenure.next_sequence(clocks.now())
         await self.journal.write(
             records.LeaseChanged(
                 self.service,
