--- a/features/support/control_model.py
+++ b/features/support/control_model.py
@@ -337,5 +337,5 @@
 
     @stateful.invariant()
     def at_most_one_may_use_the_lease(self):
-        able = [n.incarnation for n in self.nodes if n.tenure.valid(n.now)]
+        able = [n.incarnation for n in self.nodes if n.tenure.is_valid(n.now)]
         assert len(able) <= 1, able
--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -272,6 +272,6 @@
         self.until = float("-inf")
         self.sent.clear()
 
-    def valid(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether orders may go out at this instant."""
         return self.token != -1 and now < self.until
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -69,7 +69,7 @@
         holds = self.lease.is_held_by(
             self.identity.incarnation, self.tenure.token
         )
-        return holds and self.tenure.valid(clocks.now())
+        return holds and self.tenure.is_valid(clocks.now())
 
     def read(self, noted: books_module.LoggedRecord, valid: bool) -> None:
         """Takes one of the service's records in, after its book did."""
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -255,7 +255,7 @@
     """
     if order.author != tenure.identity.incarnation:
         return False
-    if not tenure.valid(now):
+    if not tenure.is_valid(now):
         return False
     if not lease.is_held_by(order.author, tenure.token):
         return False
