--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -74,7 +74,7 @@
         self.next_attempt_at: dict[str, float] = {}
         self.tasks: set[asyncio.Task] = set()
         self.planned_role: Callable[[str], str | None] = lambda engine: None
-        leasing.settled = self.is_settled
+        leasing.is_settled = self.is_settled
 
     @property
     def logged_orders(self) -> orders.Orders:
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -42,7 +42,7 @@
         self.books = books
         self.journal = journal
         self.tenure = leases.Tenure(identity)
-        self.settled: Callable[[], bool] = lambda: True
+        self.is_settled: Callable[[], bool] = lambda: True
         self.gone: Callable[[records.Holder], str] = lambda holder: ""
         self.renewed = float("-inf")
         self.stopping = False
@@ -120,7 +120,7 @@
         for holder in self.lease.predecessors:
             if holder.incarnation != self.identity.incarnation:
                 continue
-            if self.settled():
+            if self.is_settled():
                 await self.write(records.RELEASE, holder.token)
             return
 
@@ -172,7 +172,7 @@
         """Gives the lease up, if nothing that was sent is on its way."""
         self.stopping = True
         holder = self.lease.holder
-        if not self.held() or not self.settled():
+        if not self.held() or not self.is_settled():
             return
         self.tenure.end()
         await self.write(records.RELEASE, holder.token)
