--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -117,7 +117,7 @@
             self.books,
             self.journal,
         )
-        leasing.gone = self.evidence.gone
+        leasing.find_evidence = self.evidence.gone
         changes = changing.OrderExecutor(
             self.settings,
             leasing,
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -43,7 +43,7 @@
         self.journal = journal
         self.tenure = leases.Tenure(identity)
         self.is_settled: Callable[[], bool] = lambda: True
-        self.gone: Callable[[records.Holder], str] = lambda holder: ""
+        self.find_evidence: Callable[[records.Holder], str] = lambda holder: ""
         self.renewed = float("-inf")
         self.stopping = False
 
@@ -137,7 +137,7 @@
                     )
                 )
                 continue
-            evidence = "" if holder.ended else self.gone(holder)
+            evidence = "" if holder.ended else self.find_evidence(holder)
             if evidence:
                 events.log(
                     events.HOLDER_ENDED,
