--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -57,7 +57,7 @@
         """What the log says of the lease."""
         return self.book.lease
 
-    def held(self) -> bool:
+    def is_held(self) -> bool:
         """Whether the log says that this incarnation is the holder."""
         holder = self.lease.holder
         if holder is None:
@@ -101,7 +101,7 @@
         now = clocks.now()
         if self.stopping:
             return
-        if self.held():
+        if self.is_held():
             if now >= self.renewed + self.settings.renewal:
                 self.renewed = now
                 await self.write(records.RENEW, self.lease.holder.token)
@@ -172,7 +172,7 @@
         """Gives the lease up, if nothing that was sent is on its way."""
         self.stopping = True
         holder = self.lease.holder
-        if not self.held() or not self.is_settled():
+        if not self.is_held() or not self.is_settled():
             return
         self.tenure.end()
         await self.write(records.RELEASE, holder.token)
