--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -88,7 +88,7 @@
 
     def can_order(self, engine: Engine) -> bool:
         """Whether this node may give the engine orders at this instant."""
-        if not self.leasing.valid() or self.leasing.stopping:
+        if not self.leasing.is_valid() or self.leasing.stopping:
             return False
         return (
             engine.declared.checks_tokens
@@ -103,7 +103,7 @@
             await asyncio.sleep(CHECK_INTERVAL)
             self.prune()
             for engine in self.engines():
-                if not self.leasing.valid() or self.leasing.stopping:
+                if not self.leasing.is_valid() or self.leasing.stopping:
                     break
                 try:
                     await self.step(engine)
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -64,7 +64,7 @@
             return False
         return self.lease.is_held_by(self.identity.incarnation, holder.token)
 
-    def valid(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether this node may act as the holder at this instant."""
         holds = self.lease.is_held_by(
             self.identity.incarnation, self.tenure.token
@@ -126,7 +126,7 @@
 
     async def report(self) -> None:
         """Writes down that an earlier holder is gone, where that shows."""
-        if not self.valid():
+        if not self.is_valid():
             return
         now = clocks.now()
         for holder in list(self.lease.predecessors):
--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -74,7 +74,7 @@
             declared = self.declared
             if declared is None or not declared.planner:
                 continue
-            if not self.leasing.valid():
+            if not self.leasing.is_valid():
                 self.choices.clear()
                 self.planner = None
                 continue
