--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -92,7 +92,7 @@
         """Passes a record on to its service."""
         held = self.services.get(noted.record.service)
         if held is not None:
-            held.leasing.read(noted, valid)
+            held.leasing.receive(noted, valid)
 
     def reconfigure(self) -> None:
         """Follows a change of configuration."""
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -71,7 +71,7 @@
         )
         return holds and self.tenure.is_valid(clocks.now())
 
-    def read(self, noted: books_module.LoggedRecord, valid: bool) -> None:
+    def receive(self, noted: books_module.LoggedRecord, valid: bool) -> None:
         """Takes one of the service's records in, after its book did."""
         record = noted.record
         if not valid or not isinstance(record, records.LeaseChanged):
