--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -106,7 +106,7 @@
                 self.renewed = now
                 await self.write(records.RENEW, self.lease.holder.token)
             return
-        await self.retire()
+        await self.release_predecessor()
         if not self.lease.is_claimable(now, self.settings):
             return
         # Nodes whose wait ends together seldom claim together.
@@ -115,7 +115,7 @@
             self.renewed = clocks.now()
             await self.write(records.CLAIM, -1)
 
-    async def retire(self) -> None:
+    async def release_predecessor(self) -> None:
         """Releases an earlier tenure of this process that others doubt."""
         for holder in self.lease.predecessors:
             if holder.incarnation != self.identity.incarnation:
