--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -94,7 +94,7 @@
             if not self.book.is_known:
                 continue
             await self.keep()
-            await self.report()
+            await self.report_ended_holders()
 
     async def keep(self) -> None:
         """Renews what this node holds, or claims what nobody does."""
@@ -124,7 +124,7 @@
                 await self.write(records.RELEASE, holder.token)
             return
 
-    async def report(self) -> None:
+    async def report_ended_holders(self) -> None:
         """Writes down that an earlier holder is gone, where that shows."""
         if not self.is_valid():
             return
