--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -13,7 +13,7 @@
 from gypsumfold.control import records
 
 # Seconds between two looks at the lease: a fraction of any renewal.
-TICK = 0.1
+CHECK_INTERVAL = 0.1
 
 
 class Leasing:
@@ -88,7 +88,7 @@
     async def run(self) -> None:
         """Keeps or seeks the lease for as long as the service is declared."""
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(CHECK_INTERVAL)
             if not self.journal.tail.caught_up.is_set():
                 continue
             if not self.book.is_known:
