--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -56,7 +56,7 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        leasing: leasing_module.Leasing,
+        leasing: leasing_module.LeaseManager,
         closer: closing.Closer,
         sender: sending.Sender,
         engines: Callable[[], list[Engine]],
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -29,7 +29,7 @@
 class Held(NamedTuple):
     """What runs for one service."""
 
-    leasing: leasing_module.Leasing
+    leasing: leasing_module.LeaseManager
     changes: changing.OrderExecutor
 
 
@@ -110,7 +110,7 @@
 
     def hold(self, service: str) -> Held:
         """Starts to seek the lease of a service."""
-        leasing = leasing_module.Leasing(
+        leasing = leasing_module.LeaseManager(
             service,
             self.settings.control,
             self.identity,
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -16,7 +16,7 @@
 CHECK_INTERVAL = 0.1
 
 
-class Leasing:
+class LeaseManager:
     """This node's part in the lease of one service.
 
     Attributes:
--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -39,7 +39,7 @@
         service: str,
         fleet: fleet_module.Fleet,
         dispatchers: dict[str, dispatching.Dispatcher],
-        leasing: leasing_module.Leasing,
+        leasing: leasing_module.LeaseManager,
     ):
         self.service = service
         self.fleet = fleet
