--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -117,7 +117,7 @@
             self.books,
             self.journal,
         )
-        leasing.find_evidence = self.evidence.gone
+        leasing.find_evidence = self.evidence.find
         changes = changing.OrderExecutor(
             self.settings,
             leasing,
--- a/packages/gypsumfold/src/gypsumfold/control/evidence.py
+++ b/packages/gypsumfold/src/gypsumfold/control/evidence.py
@@ -36,7 +36,7 @@
         for vm in self.membership.latest.vms:
             self.listed.add((vm.name, vm.address))
 
-    def gone(self, holder: records.Holder) -> str:
+    def find(self, holder: records.Holder) -> str:
         """Says what shows that a holder is gone; empty if nothing does."""
         self.watch()
         known = [(self.identity.address, self.identity.incarnation)]
