--- a/packages/gypsumfold/src/gypsumfold/control/evidence.py
+++ b/packages/gypsumfold/src/gypsumfold/control/evidence.py
@@ -29,7 +29,7 @@
         self.membership = membership
         self.listed: set[tuple[str, str]] = set()
 
-    def watch(self) -> None:
+    def update_listed(self) -> None:
         """Remembers which VMs were on the list."""
         if self.membership.latest is None:
             return
@@ -38,7 +38,7 @@
 
     def find(self, holder: records.Holder) -> str:
         """Says what shows that a holder is gone; empty if nothing does."""
-        self.watch()
+        self.update_listed()
         known = [(self.identity.address, self.identity.incarnation)]
         for peer in self.peers.by_address.values():
             known.append((peer.address, peer.incarnation))
