--- a/packages/gypsumfold/src/gypsumfold/control/evidence.py
+++ b/packages/gypsumfold/src/gypsumfold/control/evidence.py
@@ -44,7 +44,7 @@
             known.append((peer.address, peer.incarnation))
         for address, incarnation in known:
             same = address == holder.address
-            if same and follows(incarnation, holder):
+            if same and is_newer_incarnation(incarnation, holder):
                 return f"{incarnation} answers at {address}"
         place = (holder.node, holder.address)
         if place not in self.listed:
@@ -55,7 +55,7 @@
         return f"{holder.node} left the list of VMs"
 
 
-def follows(incarnation: str, holder: records.Holder) -> bool:
+def is_newer_incarnation(incarnation: str, holder: records.Holder) -> bool:
     """Whether an incarnation of the same node started after the holder's.
 
     An incarnation is the node's name and a UUIDv7 (RFC 9562), whose text
