--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -66,7 +66,7 @@
     ):
         self.settings = settings
         self.books = books
-        self.told: dict[str, int] = {}
+        self.reported_closings: dict[str, int] = {}
         self.cleared: dict[str, int] = {}
         self.confirmed = float("-inf")
         self.contacts: dict[str, float] = {}
@@ -78,7 +78,7 @@
         found = {}
         for book in self.books.services.values():
             found.update(book.closed_engines())
-        for engine, offset in self.told.items():
+        for engine, offset in self.reported_closings.items():
             if offset > self.books.through:
                 found[engine] = max(offset, found.get(engine, -1))
         for engine, through in self.cleared.items():
@@ -88,7 +88,9 @@
 
     def tell(self, engine: str, offset: int) -> None:
         """Notes a closing that a peer told of."""
-        self.told[engine] = max(offset, self.told.get(engine, -1))
+        self.reported_closings[engine] = max(
+            offset, self.reported_closings.get(engine, -1)
+        )
 
     def merge(
         self, peer: str, asked: float, through: int, closed: dict[str, int]
