--- a/features/support/permission_model.py
+++ b/features/support/permission_model.py
@@ -136,7 +136,7 @@
         asked = node.now
         reached = {o for o in reached if self.reaches(CLOSER, o)} | {CLOSER}
         for other in reached - {CLOSER}:
-            self.nodes[other].permissions.tell(ENGINE, self.closed_at)
+            self.nodes[other].permissions.record_closing(ENGINE, self.closed_at)
         if 2 * len(reached) > NODES and node.majority is None:
             node.majority = node.now
         since = asked if node.majority is None else node.majority
--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -69,7 +69,7 @@
 
     async def on_close(self, message, address: str):
         """Closes an engine here and says what is still in progress."""
-        self.permissions.tell(message.engine, message.offset)
+        self.permissions.record_closing(message.engine, message.offset)
         count = self.permissions.dispatching[message.engine]
         return thrift.Dispatching(count)
 
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -86,7 +86,7 @@
                 del found[engine]
         return found
 
-    def tell(self, engine: str, offset: int) -> None:
+    def record_closing(self, engine: str, offset: int) -> None:
         """Notes a closing that a peer told of."""
         self.reported_closings[engine] = max(
             offset, self.reported_closings.get(engine, -1)
@@ -105,7 +105,7 @@
         """
         self.contacts[peer] = asked
         for engine, offset in closed.items():
-            self.tell(engine, offset)
+            self.record_closing(engine, offset)
         for engine, offset in self.closed().items():
             if engine not in closed and through > offset:
                 self.cleared[engine] = through
