--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -112,9 +112,12 @@
 
     def until(self) -> float:
         """When this node's permissions lapse."""
-        return max(self.confirmed, self.heard()) + self.settings.permission
+        return (
+            max(self.confirmed, self.last_majority_contact())
+            + self.settings.permission
+        )
 
-    def heard(self) -> float:
+    def last_majority_contact(self) -> float:
         """Since when at least half of the nodes were heard."""
         needed = math.ceil(self.nodes / 2) - 1
         if needed == 0:
