--- a/features/support/permission_model.py
+++ b/features/support/permission_model.py
@@ -140,7 +140,7 @@
         if 2 * len(reached) > NODES and node.majority is None:
             node.majority = node.now
         since = asked if node.majority is None else node.majority
-        if permissions.lapsed(len(reached), NODES, asked - since, SETTINGS):
+        if permissions.has_lapsed(len(reached), NODES, asked - since, SETTINGS):
             self.quiet = True
 
     @stateful.rule()
--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -118,7 +118,7 @@
         if 2 * acknowledged > nodes:
             self.majority_since.setdefault(closing, clocks.now())
         since = self.majority_since.get(closing, asked)
-        return running == 0 and permissions_module.lapsed(
+        return running == 0 and permissions_module.has_lapsed(
             acknowledged, nodes, asked - since, self.permissions.settings
         )
 
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -150,7 +150,7 @@
             self.dispatching[engine] -= 1
 
 
-def lapsed(
+def has_lapsed(
     acknowledged: int,
     nodes: int,
     waited: float,
