--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -120,7 +120,7 @@
             case records.EngineOpened():
                 return self.orders.open(record, self.lease)
             case records.OrderWished():
-                return self.orders.wish(record, noted.offset)
+                return self.orders.add_desired(record, noted.offset)
             case records.WishMet():
                 return self.orders.meet(record, self.lease)
         return True
