--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -122,7 +122,7 @@
             case records.OrderWished():
                 return self.orders.add_desired(record, noted.offset)
             case records.WishMet():
-                return self.orders.meet(record, self.lease)
+                return self.orders.mark_met(record, self.lease)
         return True
 
     def restart_chain(
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -156,7 +156,7 @@
         if order.verb == "role" and order.wish >= 0:
             self.pins[engine] = records.Pin(order.subject, order.declared)
 
-    def meet(self, record: records.WishMet, lease: leases.Lease) -> bool:
+    def mark_met(self, record: records.WishMet, lease: leases.Lease) -> bool:
         """Takes in that nothing is to be done for a wish."""
         if not self.held(record.token, lease):
             return False
