--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -104,7 +104,7 @@
             case records.HolderEnded():
                 self.lease.end(record.incarnation, now)
             case records.HolderCleared():
-                if not self.orders.held(record.token, self.lease):
+                if not self.orders.is_current_token(record.token, self.lease):
                     return False
                 self.lease.clear(record.cleared)
             case records.Seizure():
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -158,7 +158,7 @@
 
     def mark_met(self, record: records.WishMet, lease: leases.Lease) -> bool:
         """Takes in that nothing is to be done for a wish."""
-        if not self.held(record.token, lease):
+        if not self.is_current_token(record.token, lease):
             return False
         for wish in self.wishes.get(record.engine, []):
             if wish.offset != record.wish or wish.verb != "role":
@@ -173,21 +173,21 @@
         self, record: records.EngineClosed, offset: int, lease: leases.Lease
     ) -> bool:
         """Takes a closing in; valid from the holder alone."""
-        if not self.held(record.token, lease):
+        if not self.is_current_token(record.token, lease):
             return False
         self.closed[record.engine] = offset
         return True
 
     def open(self, record: records.EngineOpened, lease: leases.Lease) -> bool:
         """Takes the end of a closing in; never with an order outstanding."""
-        if not self.held(record.token, lease):
+        if not self.is_current_token(record.token, lease):
             return False
         if record.engine in self.outstanding:
             return False
         self.closed.pop(record.engine, None)
         return True
 
-    def held(self, token: int, lease: leases.Lease) -> bool:
+    def is_current_token(self, token: int, lease: leases.Lease) -> bool:
         """Whether a token is that of the present tenure."""
         if lease.holder is None or lease.released:
             return False
