--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -146,7 +146,7 @@
         del self.outstanding[record.engine]
         self.finished.append(Finished(record.engine, order, record.result))
         if record.result != Resolution.VOID:
-            self.drop(record.engine, order.wish)
+            self.drop_desired(record.engine, order.wish)
         if record.result == Resolution.DONE:
             self.pin(record.engine, order)
         return True
@@ -166,7 +166,7 @@
             self.pins[record.engine] = records.Pin(
                 wish.subject, record.declared
             )
-        self.drop(record.engine, record.wish)
+        self.drop_desired(record.engine, record.wish)
         return True
 
     def close(
@@ -215,7 +215,7 @@
         )
         return True
 
-    def drop(self, engine: str, offset: int) -> None:
+    def drop_desired(self, engine: str, offset: int) -> None:
         """Forgets a wish."""
         kept = []
         for wish in self.wishes.get(engine, []):
