--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -155,7 +155,7 @@
     def snapshot(self) -> records.Snapshot:
         """The state as it goes into this node's lease records."""
         wishes = {}
-        for engine, found in self.orders.wishes.items():
+        for engine, found in self.orders.desired.items():
             wishes[engine] = tuple(found)
         return records.Snapshot(
             self.through,
--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -146,7 +146,7 @@
 
     def has_work(self, engine: Engine, role: str) -> bool:
         """Whether there seems to be something to do, by the last report."""
-        if self.logged_orders.wishes.get(engine.name):
+        if self.logged_orders.desired.get(engine.name):
             return True
         state = orders.EngineState(
             "", role, frozenset(), 0, False, "", True, -1
@@ -158,7 +158,7 @@
     ) -> wishes.Next | None:
         """Picks the next order for an engine."""
         return wishes.choose(
-            self.logged_orders.wishes.get(engine.name, []),
+            self.logged_orders.desired.get(engine.name, []),
             self.logged_orders.pins.get(engine.name),
             engine.declared,
             self.planned_role(engine.name),
--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -116,7 +116,7 @@
             rows.append(row(each.engine, service, each.result, each.order))
         for engine, order in found.outstanding.items():
             rows.append(row(engine, service, "outstanding", order))
-        for engine, waiting in found.wishes.items():
+        for engine, waiting in found.desired.items():
             for wish in waiting:
                 rows.append(
                     (
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -111,7 +111,7 @@
     def __init__(self):
         self.outstanding: dict[str, records.Order] = {}
         self.closed: dict[str, int] = {}
-        self.wishes: dict[str, list[records.Wish]] = {}
+        self.desired: dict[str, list[records.Wish]] = {}
         self.pins: dict[str, records.Pin] = {}
         self.finished = collections.deque(maxlen=RESULTS_KEPT)
 
@@ -160,7 +160,7 @@
         """Takes in that nothing is to be done for a wish."""
         if not self.is_current_token(record.token, lease):
             return False
-        for wish in self.wishes.get(record.engine, []):
+        for wish in self.desired.get(record.engine, []):
             if wish.offset != record.wish or wish.verb != "role":
                 continue
             self.pins[record.engine] = records.Pin(
@@ -199,7 +199,7 @@
         Of two wishes with the same verb for one engine the later on the log
         takes the place of the earlier.
         """
-        wishes = self.wishes.setdefault(record.engine, [])
+        wishes = self.desired.setdefault(record.engine, [])
         for wish in wishes:
             if wish.change_id == record.change_id:
                 return False
@@ -218,20 +218,20 @@
     def drop_desired(self, engine: str, offset: int) -> None:
         """Forgets a wish."""
         kept = []
-        for wish in self.wishes.get(engine, []):
+        for wish in self.desired.get(engine, []):
             if wish.offset != offset:
                 kept.append(wish)
-        self.wishes.pop(engine, None)
+        self.desired.pop(engine, None)
         if kept:
-            self.wishes[engine] = kept
+            self.desired[engine] = kept
 
     def load(self, state: records.Snapshot) -> None:
         """Starts from what another node had read."""
         self.outstanding = dict(state.orders)
         self.closed = dict(state.closed)
-        self.wishes = {}
+        self.desired = {}
         for engine, wishes in state.wishes.items():
-            self.wishes[engine] = list(wishes)
+            self.desired[engine] = list(wishes)
         self.pins = dict(state.pins)
 
 
