--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -135,7 +135,7 @@
             return
         state = await self.sender.state(engine.declared.address)
         wanted = self.choose(engine, state)
-        if wanted is not None and wishes.met(wanted, state):
+        if wanted is not None and wishes.is_met(wanted, state):
             await self.record_met(engine, wanted)
             return
         if wanted is None or not self.is_due(engine):
--- a/packages/gypsumfold/src/gypsumfold/control/wishes.py
+++ b/packages/gypsumfold/src/gypsumfold/control/wishes.py
@@ -31,7 +31,7 @@
     origin: str
 
 
-def met(wanted: Next, state: orders.EngineState) -> bool:
+def is_met(wanted: Next, state: orders.EngineState) -> bool:
     """Whether an engine does already what an order would bring about."""
     if wanted.verb == "role":
         return wanted.subject == state.role
