--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -194,7 +194,7 @@
                 self.leasing.service,
                 engine.name,
                 self.leasing.tenure.token,
-                wanted.wish,
+                wanted.desired_offset,
                 engine.declared.role,
             )
         )
@@ -248,7 +248,7 @@
                 self.new_id(),
                 wanted.verb,
                 wanted.subject,
-                wanted.wish,
+                wanted.desired_offset,
                 state.incarnation,
                 engine.declared.role,
                 supersedes,
--- a/packages/gypsumfold/src/gypsumfold/control/wishes.py
+++ b/packages/gypsumfold/src/gypsumfold/control/wishes.py
@@ -27,7 +27,7 @@
 
     verb: str
     subject: str
-    wish: int
+    desired_offset: int
     origin: str
 
 
