--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -155,7 +155,7 @@
 
     def choose(
         self, engine: Engine, state: orders.EngineState
-    ) -> wishes.Next | None:
+    ) -> wishes.NextOrder | None:
         """Picks the next order for an engine."""
         return wishes.choose(
             self.logged_orders.desired.get(engine.name, []),
@@ -187,7 +187,9 @@
         taken -= {engine.name, *self.blocked}
         return len(taken) < self.settings.control.changes
 
-    async def record_met(self, engine: Engine, wanted: wishes.Next) -> None:
+    async def record_met(
+        self, engine: Engine, wanted: wishes.NextOrder
+    ) -> None:
         """Notes that a wish is fulfilled already."""
         await self.leasing.journal.write(
             records.WishMet(
@@ -233,7 +235,7 @@
     async def record_intent(
         self,
         engine: Engine,
-        wanted: wishes.Next,
+        wanted: wishes.NextOrder,
         state: orders.EngineState,
         supersedes: str,
     ) -> None:
@@ -292,7 +294,7 @@
         if not self.can_order(engine) or not self.is_due(engine):
             return
         if await self.close_until_idle(engine, order.verb):
-            wanted = wishes.Next(order.verb, order.subject, order.wish, "")
+            wanted = wishes.NextOrder(order.verb, order.subject, order.wish, "")
             await self.record_intent(engine, wanted, state, order.id)
 
     async def send(self, engine: Engine, order: records.Order) -> None:
--- a/packages/gypsumfold/src/gypsumfold/control/wishes.py
+++ b/packages/gypsumfold/src/gypsumfold/control/wishes.py
@@ -15,7 +15,7 @@
 from gypsumfold.control import records
 
 
-class Next(NamedTuple):
+class NextOrder(NamedTuple):
     """An order to give.
 
     Attributes:
@@ -31,7 +31,7 @@
     origin: str
 
 
-def is_met(wanted: Next, state: orders.EngineState) -> bool:
+def is_met(wanted: NextOrder, state: orders.EngineState) -> bool:
     """Whether an engine does already what an order would bring about."""
     if wanted.verb == "role":
         return wanted.subject == state.role
@@ -45,7 +45,7 @@
     declared: objects.Endpoint,
     planned: str | None,
     state: orders.EngineState,
-) -> Next | None:
+) -> NextOrder | None:
     """Picks the next order for an engine.
 
     Args:
@@ -61,7 +61,7 @@
     """
     if wishes:
         wish = wishes[0]
-        return Next(wish.verb, wish.subject, wish.offset, wish.operator)
+        return NextOrder(wish.verb, wish.subject, wish.offset, wish.operator)
     role, origin = declared.role, "declaration"
     if planned is not None:
         role, origin = planned, "planner"
@@ -69,4 +69,4 @@
         role, origin = pin.role, "operator"
     if role == state.role:
         return None
-    return Next("role", role, -1, origin)
+    return NextOrder("role", role, -1, origin)
