--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -230,7 +230,7 @@
         self.outstanding = dict(state.orders)
         self.closed = dict(state.closed)
         self.desired = {}
-        for engine, wishes in state.wishes.items():
+        for engine, wishes in state.desired.items():
             self.desired[engine] = list(wishes)
         self.pins = dict(state.pins)
 
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -108,7 +108,7 @@
     predecessors: tuple[Holder, ...]
     orders: dict[str, Order]
     closed: dict[str, int]
-    wishes: dict[str, tuple[Wish, ...]]
+    desired: dict[str, tuple[Wish, ...]]
     pins: dict[str, Pin]
 
 
