--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -294,7 +294,9 @@
         if not self.can_order(engine) or not self.is_due(engine):
             return
         if await self.close_until_idle(engine, order.verb):
-            wanted = wishes.NextOrder(order.verb, order.subject, order.wish, "")
+            wanted = wishes.NextOrder(
+                order.verb, order.subject, order.desired_offset, ""
+            )
             await self.record_intent(engine, wanted, state, order.id)
 
     async def send(self, engine: Engine, order: records.Order) -> None:
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -146,14 +146,14 @@
         del self.outstanding[record.engine]
         self.finished.append(Finished(record.engine, order, record.result))
         if record.result != Resolution.VOID:
-            self.drop_desired(record.engine, order.wish)
+            self.drop_desired(record.engine, order.desired_offset)
         if record.result == Resolution.DONE:
             self.pin(record.engine, order)
         return True
 
     def pin(self, engine: str, order: records.Order) -> None:
         """Makes the role of an operator's order stand."""
-        if order.verb == "role" and order.wish >= 0:
+        if order.verb == "role" and order.desired_offset >= 0:
             self.pins[engine] = records.Pin(order.subject, order.declared)
 
     def mark_met(self, record: records.WishMet, lease: leases.Lease) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -46,7 +46,7 @@
     author: str
     verb: str
     subject: str
-    wish: int
+    desired_offset: int
     engine: str
     declared: str
 
