--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -132,7 +132,7 @@
             record.author,
             record.verb,
             record.subject,
-            record.wish,
+            record.desired_offset,
             record.incarnation,
             record.declared,
         )
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -241,7 +241,7 @@
     id: str
     verb: str
     subject: str
-    wish: int
+    desired_offset: int
     incarnation: str
     declared: str
     supersedes: str = ""
