--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -161,12 +161,12 @@
         if not self.is_current_token(record.token, lease):
             return False
         for wish in self.desired.get(record.engine, []):
-            if wish.offset != record.wish or wish.verb != "role":
+            if wish.offset != record.desired_offset or wish.verb != "role":
                 continue
             self.pins[record.engine] = records.Pin(
                 wish.subject, record.declared
             )
-        self.drop_desired(record.engine, record.wish)
+        self.drop_desired(record.engine, record.desired_offset)
         return True
 
     def close(
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -276,7 +276,7 @@
     service: str
     engine: str
     token: int
-    wish: int
+    desired_offset: int
     declared: str
 
 
