--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -111,7 +111,7 @@
     def __init__(self):
         self.outstanding: dict[str, records.Order] = {}
         self.closed: dict[str, int] = {}
-        self.desired: dict[str, list[records.Wish]] = {}
+        self.desired: dict[str, list[records.DesiredOrder]] = {}
         self.pins: dict[str, records.Pin] = {}
         self.finished = collections.deque(maxlen=RESULTS_KEPT)
 
@@ -205,7 +205,7 @@
                 return False
         wishes[:] = [wish for wish in wishes if wish.verb != record.verb]
         wishes.append(
-            records.Wish(
+            records.DesiredOrder(
                 offset,
                 record.change_id,
                 record.operator,
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -51,7 +51,7 @@
     declared: str
 
 
-class Wish(NamedTuple):
+class DesiredOrder(NamedTuple):
     """An operator's order that still has to be carried out.
 
     Attributes:
@@ -108,7 +108,7 @@
     predecessors: tuple[Holder, ...]
     orders: dict[str, Order]
     closed: dict[str, int]
-    desired: dict[str, tuple[Wish, ...]]
+    desired: dict[str, tuple[DesiredOrder, ...]]
     pins: dict[str, Pin]
 
 
--- a/packages/gypsumfold/src/gypsumfold/control/wishes.py
+++ b/packages/gypsumfold/src/gypsumfold/control/wishes.py
@@ -40,7 +40,7 @@
 
 
 def choose(
-    wishes: list[records.Wish],
+    wishes: list[records.DesiredOrder],
     pin: records.Pin | None,
     declared: objects.Endpoint,
     planned: str | None,
