--- a/features/steps/control_rules_steps.py
+++ b/features/steps/control_rules_steps.py
@@ -61,7 +61,7 @@
     for operator, role in (("one", first), ("two", second)):
         take(
             context,
-            records.OrderWished(
+            records.OrderDesired(
                 "dispatch", ENGINE, f"change-{operator}", operator, "role", role
             ),
         )
--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -119,7 +119,7 @@
                 return self.orders.close(record, noted.offset, self.lease)
             case records.EngineOpened():
                 return self.orders.open(record, self.lease)
-            case records.OrderWished():
+            case records.OrderDesired():
                 return self.orders.add_desired(record, noted.offset)
             case records.WishMet():
                 return self.orders.mark_met(record, self.lease)
--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -49,7 +49,7 @@
             )
             said = f"{command.incarnation} is taken to be gone"
         else:
-            record = records.OrderWished(
+            record = records.OrderDesired(
                 self.service(command.endpoint),
                 command.endpoint,
                 change_id,
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -193,7 +193,7 @@
             return False
         return lease.holder.token == token
 
-    def add_desired(self, record: records.OrderWished, offset: int) -> bool:
+    def add_desired(self, record: records.OrderDesired, offset: int) -> bool:
         """Takes an operator's order in; a repeat of one changes nothing.
 
         Of two wishes with the same verb for one engine the later on the log
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -204,7 +204,7 @@
 
 
 @records.register("order-wished")
-class OrderWished(NamedTuple):
+class OrderDesired(NamedTuple):
     """An operator's order, to be carried out by the holder."""
 
     service: str
@@ -287,7 +287,7 @@
     | Seizure
     | EngineClosed
     | EngineOpened
-    | OrderWished
+    | OrderDesired
     | OrderIntended
     | OrderFinished
     | WishMet
