--- a/packages/gypsumfold/src/gypsumfold/control/books.py
+++ b/packages/gypsumfold/src/gypsumfold/control/books.py
@@ -121,7 +121,7 @@
                 return self.orders.open(record, self.lease)
             case records.OrderDesired():
                 return self.orders.add_desired(record, noted.offset)
-            case records.WishMet():
+            case records.DesiredOrderMet():
                 return self.orders.mark_met(record, self.lease)
         return True
 
--- a/packages/gypsumfold/src/gypsumfold/control/changing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/changing.py
@@ -192,7 +192,7 @@
     ) -> None:
         """Notes that a wish is fulfilled already."""
         await self.leasing.journal.write(
-            records.WishMet(
+            records.DesiredOrderMet(
                 self.leasing.service,
                 engine.name,
                 self.leasing.tenure.token,
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -156,7 +156,9 @@
         if order.verb == "role" and order.desired_offset >= 0:
             self.pins[engine] = records.Pin(order.subject, order.declared)
 
-    def mark_met(self, record: records.WishMet, lease: leases.Lease) -> bool:
+    def mark_met(
+        self, record: records.DesiredOrderMet, lease: leases.Lease
+    ) -> bool:
         """Takes in that nothing is to be done for a wish."""
         if not self.is_current_token(record.token, lease):
             return False
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -262,7 +262,7 @@
 
 
 @records.register("wish-met")
-class WishMet(NamedTuple):
+class DesiredOrderMet(NamedTuple):
     """The engine does already what is wished; valid from the holder alone.
 
     Attributes:
@@ -290,6 +290,6 @@
     | OrderDesired
     | OrderIntended
     | OrderFinished
-    | WishMet
+    | DesiredOrderMet
 )
 KINDS = Record.__args__
