--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -78,9 +78,9 @@
                 self.choices.clear()
                 self.planner = None
                 continue
-            self.look(declared, time.monotonic())
+            self.plan_once(declared, time.monotonic())
 
-    def look(self, declared: objects.Service, now: float) -> None:
+    def plan_once(self, declared: objects.Service, now: float) -> None:
         """Plans at most one change."""
         found = self.engines(now)
         if not found:
