--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -129,7 +129,7 @@
         plan = planning.Planning(
             service, self.node.fleet, self.node.dispatchers, leasing
         )
-        changes.planned_role = plan.planned
+        changes.planned_role = plan.planned_role
         self.node.supervise(f"lease-{service}", leasing.run)
         self.node.supervise(f"changes-{service}", changes.run)
         self.node.supervise(f"planning-{service}", plan.run)
--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -53,7 +53,7 @@
         """The service's declaration."""
         return self.fleet.configuration.get("service", self.service)
 
-    def planned(self, engine: str) -> str | None:
+    def planned_role(self, engine: str) -> str | None:
         """The role wished for; None where the planner has no say.
 
         An engine that it has not changed stays as it is, so that a node
