--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -13,7 +13,7 @@
 from gypsumfold.endpoints import fleet as fleet_module
 
 # Seconds between two looks; demand is measured over two.
-TICK = 1.0
+PLAN_INTERVAL = 1.0
 # Seconds that a change and the draining before it take: measured with the
 # stand-in engine at half speed (6 s and about 4 s).
 AWAY = 6.0
@@ -70,7 +70,7 @@
     async def run(self) -> None:
         """Plans for as long as the service is declared."""
         while True:
-            await asyncio.sleep(TICK)
+            await asyncio.sleep(PLAN_INTERVAL)
             declared = self.declared
             if declared is None or not declared.planner:
                 continue
