--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -17,7 +17,7 @@
 # Seconds that a change and the draining before it take: measured with the
 # stand-in engine at half speed (6 s and about 4 s).
 CHANGE_SECONDS = 6.0
-DRAIN = 4.0
+DRAIN_SECONDS = 4.0
 # Output tokens a second of a full batch, as a share of batch times the rate
 # of one sequence alone; 0.53 for the stand-in's mixed engine.
 BATCH_EFFICIENCY = 0.5
@@ -86,7 +86,9 @@
         if not found:
             return
         if self.planner is None:
-            costs = roles.Costs(CHANGE_SECONDS, DRAIN, declared.change_weight)
+            costs = roles.Costs(
+                CHANGE_SECONDS, DRAIN_SECONDS, declared.change_weight
+            )
             self.planner = roles.GainPlanner(self.rates(), costs, now)
         change = self.planner.plan(found, self.demand(now), now)
         if change is None:
