--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -23,7 +23,7 @@
 BATCH_EFFICIENCY = 0.5
 # What a specialised engine does more than a mixed one; 1.33 for prefill and
 # 1.34 for decode of the stand-in (gypsumfold_standins/service_time.py).
-SPECIAL = 1.33
+SPECIALIZED_GAIN = 1.33
 
 
 class Planning:
@@ -148,6 +148,6 @@
     """Rates of all roles from those of a mixed engine."""
     return {
         types.Role.MIXED: mixed,
-        types.Role.PREFILL: roles.Rates(mixed.prefill * SPECIAL, 0.0),
-        types.Role.DECODE: roles.Rates(0.0, mixed.decode * SPECIAL),
+        types.Role.PREFILL: roles.Rates(mixed.prefill * SPECIALIZED_GAIN, 0.0),
+        types.Role.DECODE: roles.Rates(0.0, mixed.decode * SPECIALIZED_GAIN),
     }
