--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -126,7 +126,7 @@
             lambda: self.engines(service),
             self.node.new_id,
         )
-        plan = planning.Planning(
+        plan = planning.RolePlanning(
             service, self.node.fleet, self.node.dispatchers, leasing
         )
         changes.planned_role = plan.planned_role
--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -26,7 +26,7 @@
 SPECIALIZED_GAIN = 1.33
 
 
-class Planning:
+class RolePlanning:
     """The planner of one service, and what it has chosen.
 
     >>> planning = Planning("dispatch", fleet, dispatchers, leasing)
