--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -144,13 +144,13 @@
         "closed",
         "digest",
         "outcome",
-        "place",
+        "account_key",
         "released",
         "time",
     )
 
     def __init__(self, place: tuple[str, str], time: float):
-        self.place = place
+        self.account_key = place
         self.time = time
         self.digest = ""
         self.claims: list[str] = []
@@ -181,7 +181,7 @@
         It is kept with the strings that are here already.
         """
         if self.outcome is None and self.winner() == outcome.claim:
-            account, key = self.place
+            account, key = self.account_key
             self.outcome = outcome._replace(
                 claim=self.claims[0], account=account, key=key
             )
