--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -158,7 +158,7 @@
         self.closed = False
         self.outcome: Outcome | None = None
 
-    def take_claim(self, claim: Claim) -> None:
+    def add_claim(self, claim: Claim) -> None:
         """Notes a claim whose key's age is valid."""
         if claim.id in self.released or claim.id in self.claims:
             return
@@ -242,7 +242,7 @@
             self.slots[place] = Slot(place, time)
         slot = self.slots[place]
         if isinstance(record, Claim) and valid:
-            slot.take_claim(record)
+            slot.add_claim(record)
         elif isinstance(record, Release):
             slot.take_release(record)
         elif isinstance(record, Outcome):
