--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -167,7 +167,7 @@
         if claim.digest == self.digest:
             self.claims.append(claim.id)
 
-    def take_release(self, release: Release) -> None:
+    def add_release(self, release: Release) -> None:
         """Notes a release; it closes the key only from the winning claim."""
         if release.closes and self.winner() == release.claim:
             self.closed = True
@@ -244,7 +244,7 @@
         if isinstance(record, Claim) and valid:
             slot.add_claim(record)
         elif isinstance(record, Release):
-            slot.take_release(record)
+            slot.add_release(record)
         elif isinstance(record, Outcome):
             slot.take_outcome(record)
 
