--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -175,7 +175,7 @@
         if release.claim in self.claims:
             self.claims.remove(release.claim)
 
-    def take_outcome(self, outcome: Outcome) -> None:
+    def add_outcome(self, outcome: Outcome) -> None:
         """Notes the winning claim's outcome; the first one counts.
 
         It is kept with the strings that are here already.
@@ -246,7 +246,7 @@
         elif isinstance(record, Release):
             slot.add_release(record)
         elif isinstance(record, Outcome):
-            slot.take_outcome(record)
+            slot.add_outcome(record)
 
     def gap(self, wanted: int, first: int) -> None:
         """Notes that the log dropped entries before they were read.
