--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -125,7 +125,7 @@
     FUTURE = "future"
 
 
-class Slot:
+class KeyState:
     """What the log says of one key.
 
     Attributes:
@@ -212,7 +212,7 @@
         self.retention = retention
         self.future = min(FUTURE_SECONDS, FUTURE_SHARE * retention)
         self.oldest = retention * (1 - AGE_MARGIN_SHARE)
-        self.slots: dict[tuple[str, str], Slot] = {}
+        self.slots: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
         self.floor = 0.0
         self.gapped = False
@@ -239,7 +239,7 @@
         if place not in self.slots:
             if not valid or isinstance(record, Outcome):
                 return
-            self.slots[place] = Slot(place, time)
+            self.slots[place] = KeyState(place, time)
         slot = self.slots[place]
         if isinstance(record, Claim) and valid:
             slot.add_claim(record)
