--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -229,10 +229,10 @@
             self.gapped = False
         for record in entry.records:
             if isinstance(record, Record):
-                self.take(record, entry.time)
+                self.apply_record(record, entry.time)
         self.prune()
 
-    def take(self, record: Record, time: float) -> None:
+    def apply_record(self, record: Record, time: float) -> None:
         """Takes one record that the log took at a time by its clock."""
         place = (record.account, record.key)
         valid = self.age(record.key, time) == Age.VALID
