--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -210,7 +210,7 @@
 
     def __init__(self, retention: float):
         self.retention = retention
-        self.future = min(FUTURE_SECONDS, FUTURE_SHARE * retention)
+        self.max_ahead = min(FUTURE_SECONDS, FUTURE_SHARE * retention)
         self.oldest = retention * (1 - AGE_MARGIN_SHARE)
         self.slots: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
@@ -225,7 +225,7 @@
         """
         self.time = max(self.time, entry.time)
         if self.gapped:
-            self.floor = entry.time + self.future
+            self.floor = entry.time + self.max_ahead
             self.gapped = False
         for record in entry.records:
             if isinstance(record, Record):
@@ -277,7 +277,7 @@
             Whether a claim that the log takes now counts.
         """
         made = made_at(key)
-        if made > now + self.future:
+        if made > now + self.max_ahead:
             return Age.FUTURE
         if made <= max(now - self.oldest, self.floor):
             return Age.OLD
