--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -211,7 +211,7 @@
     def __init__(self, retention: float):
         self.retention = retention
         self.max_ahead = min(FUTURE_SECONDS, FUTURE_SHARE * retention)
-        self.oldest = retention * (1 - AGE_MARGIN_SHARE)
+        self.max_key_age = retention * (1 - AGE_MARGIN_SHARE)
         self.slots: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
         self.floor = 0.0
@@ -279,7 +279,7 @@
         made = made_at(key)
         if made > now + self.max_ahead:
             return Age.FUTURE
-        if made <= max(now - self.oldest, self.floor):
+        if made <= max(now - self.max_key_age, self.floor):
             return Age.OLD
         return Age.VALID
 
