--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -215,7 +215,7 @@
         self.slots: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
         self.min_key_time = 0.0
-        self.gapped = False
+        self.has_gap = False
 
     def apply(self, entry: records.Entry) -> None:
         """Takes the next entry of the stream.
@@ -224,9 +224,9 @@
             entry: In order of offset, each once.
         """
         self.time = max(self.time, entry.time)
-        if self.gapped:
+        if self.has_gap:
             self.min_key_time = entry.time + self.max_ahead
-            self.gapped = False
+            self.has_gap = False
         for record in entry.records:
             if isinstance(record, Record):
                 self.apply_record(record, entry.time)
@@ -256,7 +256,7 @@
             first: The lowest that is kept.
         """
         del wanted, first
-        self.gapped = True
+        self.has_gap = True
 
     def prune(self) -> None:
         """Forgets keys of which the log keeps no claim."""
