--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -276,7 +276,7 @@
         Returns:
             Whether a claim that the log takes now counts.
         """
-        made = made_at(key)
+        made = key_time(key)
         if made > now + self.max_ahead:
             return Age.FUTURE
         if made <= max(now - self.max_key_age, self.min_key_time):
@@ -335,7 +335,7 @@
     return key if UUID_PATTERN.fullmatch(key) else ""
 
 
-def made_at(key: str) -> float:
+def key_time(key: str) -> float:
     """Seconds since the epoch at which a canonical UUIDv7 was made."""
     return (uuid.UUID(key).int >> 80) / 1000
 
