--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -89,7 +89,7 @@
             except exceptions.RequestError as error:
                 return kept.Ending(None, refusals.doubted(error))
         digest = digest_of(order)
-        canonical = claims.canonical(key)
+        canonical = claims.canonical_key(key)
         if canonical:
             return await self.keyed.call(canonical, digest, order)
         issued = self.bound.read(key, order.wanted.account)
--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -322,7 +322,7 @@
         return "" if slot is None else slot.winner()
 
 
-def canonical(key: str) -> str:
+def canonical_key(key: str) -> str:
     """Gives the one spelling of a UUIDv7 (RFC 9562, section 5.7).
 
     Args:
