--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -16,7 +16,7 @@
 # record that the log keeps. It has to exceed FUTURE_SHARE: a claim made as
 # far before the key's own time as is allowed is then still kept when the
 # last claim of the key is accepted.
-AGE_MARGIN_SHARE = 0.1
+AGE_MARGIN_FRACTION = 0.1
 # Share of the retention, and seconds at the most, by which the clock of a
 # caller may be ahead of the log's. NTP keeps VMs within a second; phones
 # may be off by up to a minute without their owners noticing.
@@ -211,7 +211,7 @@
     def __init__(self, retention: float):
         self.retention = retention
         self.max_ahead = min(FUTURE_SECONDS, FUTURE_SHARE * retention)
-        self.max_key_age = retention * (1 - AGE_MARGIN_SHARE)
+        self.max_key_age = retention * (1 - AGE_MARGIN_FRACTION)
         self.slots: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
         self.min_key_time = 0.0
