--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -20,7 +20,7 @@
 # Share of the retention, and seconds at the most, by which the clock of a
 # caller may be ahead of the log's. NTP keeps VMs within a second; phones
 # may be off by up to a minute without their owners noticing.
-FUTURE_SHARE = 0.01
+MAX_AHEAD_FRACTION = 0.01
 FUTURE_SECONDS = 60.0
 
 UUID_PATTERN = re.compile(
@@ -210,7 +210,7 @@
 
     def __init__(self, retention: float):
         self.retention = retention
-        self.max_ahead = min(FUTURE_SECONDS, FUTURE_SHARE * retention)
+        self.max_ahead = min(FUTURE_SECONDS, MAX_AHEAD_FRACTION * retention)
         self.max_key_age = retention * (1 - AGE_MARGIN_FRACTION)
         self.slots: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
