--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -21,7 +21,7 @@
 # caller may be ahead of the log's. NTP keeps VMs within a second; phones
 # may be off by up to a minute without their owners noticing.
 MAX_AHEAD_FRACTION = 0.01
-FUTURE_SECONDS = 60.0
+MAX_AHEAD_SECONDS = 60.0
 
 UUID_PATTERN = re.compile(
     r"[0-9a-f]{8}-[0-9a-f]{4}-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}"
@@ -210,7 +210,7 @@
 
     def __init__(self, retention: float):
         self.retention = retention
-        self.max_ahead = min(FUTURE_SECONDS, MAX_AHEAD_FRACTION * retention)
+        self.max_ahead = min(MAX_AHEAD_SECONDS, MAX_AHEAD_FRACTION * retention)
         self.max_key_age = retention * (1 - AGE_MARGIN_FRACTION)
         self.slots: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
