--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -22,7 +22,7 @@
 # Seconds by which a change id, a UUIDv7 (RFC 9562), may be older than its
 # record's place on the log. Ids are remembered for as long, so 1,500 changes
 # a day make 63 of them; a client repeats a lost append within seconds.
-ID_AGE = 3600.0
+MAX_ID_AGE_SECONDS = 3600.0
 # Seconds by which an operator's clock may be ahead of the log's.
 ID_AHEAD = 300.0
 
@@ -157,7 +157,7 @@
         now: The log's time, in seconds since the epoch.
     """
     try:
-        return id_time(change_id) < now - ID_AGE
+        return id_time(change_id) < now - MAX_ID_AGE_SECONDS
     except exceptions.ChangeRejected:
         return True
 
