--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -24,7 +24,7 @@
 # a day make 63 of them; a client repeats a lost append within seconds.
 MAX_ID_AGE_SECONDS = 3600.0
 # Seconds by which an operator's clock may be ahead of the log's.
-ID_AHEAD = 300.0
+MAX_ID_AHEAD_SECONDS = 300.0
 
 # Names stand in URLs, headers and metrics, so they hold no blanks.
 NAME = re.compile(r"[!-~]{1,200}")
@@ -168,9 +168,9 @@
     Raises:
         exceptions.ChangeRejected: The id's time is in the future.
     """
-    if id_time(change_id) > now + ID_AHEAD:
+    if id_time(change_id) > now + MAX_ID_AHEAD_SECONDS:
         raise exceptions.ChangeRejected(
-            f"the change id is more than {ID_AHEAD:.0f} s ahead of the log"
+            f"the change id is more than {MAX_ID_AHEAD_SECONDS:.0f} s ahead of the log"
         )
 
 
