--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -186,7 +186,7 @@
         self.base = base
         self.objects = dict(base)
         self.offset = offset
-        self.touched: set[str] = set()
+        self.changed_kinds: set[str] = set()
 
     def run(self, change: Change) -> None:
         """Carries a change out.
@@ -200,7 +200,7 @@
         self.check_preconditions(change)
         for operation in change.operations:
             self.run_operation(operation, change.author)
-        rules.check(self.objects, self.touched)
+        rules.check(self.objects, self.changed_kinds)
 
     def check_preconditions(self, change: Change) -> None:
         """Compares the revisions that the author saw with those in force."""
@@ -230,8 +230,8 @@
             raise exceptions.ChangeRejected(
                 f"the name {name!r} has blanks or more than 200 characters"
             )
-        if kind not in self.touched:
-            self.touched.add(kind)
+        if kind not in self.changed_kinds:
+            self.changed_kinds.add(kind)
             self.objects[kind] = dict(self.objects[kind])
         current = self.objects[kind].get(name)
         if verb == "create" and current:
