--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -241,13 +241,13 @@
         if verb == "drop":
             del self.objects[kind][name]
             return
-        value = merged(kind, name, current, fields)
+        value = merge_fields(kind, name, current, fields)
         self.objects[kind][name] = Declared(
             kind, name, value, self.offset, author
         )
 
 
-def merged(
+def merge_fields(
     kind: str, name: str, current: Declared | None, fields: dict[str, Any]
 ) -> objects.Object:
     """Sets fields of an object and checks the result.
