--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -204,7 +204,7 @@
 
     def check_preconditions(self, change: Change) -> None:
         """Compares the revisions that the author saw with those in force."""
-        moved = []
+        changed = []
         named = {(kind, name) for kind, name, _ in change.preconditions}
         for _, kind, name, _ in change.operations:
             if (kind, name) not in named:
@@ -215,10 +215,10 @@
             current = self.objects.get(kind, {}).get(name)
             found = current.revision if current else -1
             if found != revision:
-                moved.append(f'{kind} "{name}"')
-        if moved:
+                changed.append(f'{kind} "{name}"')
+        if changed:
             raise exceptions.ChangeRejected(
-                f"changed meanwhile: {', '.join(moved)}"
+                f"changed meanwhile: {', '.join(changed)}"
             )
 
     def run_operation(self, operation: Operation, author: str) -> None:
