--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -255,10 +255,10 @@
     Raises:
         exceptions.ChangeRejected: A field is unknown, missing or wrong.
     """
-    whole = msgspec.structs.asdict(current.value) if current else {}
-    whole.update(fields)
+    values = msgspec.structs.asdict(current.value) if current else {}
+    values.update(fields)
     try:
-        return msgspec.convert(whole, objects.KINDS[kind])
+        return msgspec.convert(values, objects.KINDS[kind])
     except msgspec.ValidationError as error:
         raise exceptions.ChangeRejected(f'{kind} "{name}": {error}') from error
 
