--- a/features/steps/control_rules_steps.py
+++ b/features/steps/control_rules_steps.py
@@ -6,7 +6,7 @@
 from features.support import permission_model
 
 from gypsumfold import objects
-from gypsumfold.control import books
+from gypsumfold.control import control_state
 from gypsumfold.control import orders
 from gypsumfold.control import records
 from gypsumfold.control import wishes
@@ -33,7 +33,7 @@
 
 def take(context, record):
     """Appends one record and lets the book read it."""
-    noted = books.LoggedRecord(context.offset, 0.0, record)
+    noted = control_state.LoggedRecord(context.offset, 0.0, record)
     assert context.book.apply(noted, 0.0), record
     context.offset += 1
 
@@ -41,7 +41,7 @@
 @behave.given("the control stream of one service with a holder")
 def step_stream(context):
     context.offset = 0
-    context.book = books.ServiceState("dispatch", 60.0, 0, True)
+    context.book = control_state.ServiceState("dispatch", 60.0, 0, True)
     claim = records.LeaseChanged(
         "dispatch",
         records.CLAIM,
--- a/features/support/control_model.py
+++ b/features/support/control_model.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies
 
 from features.support import control_parts
-from gypsumfold.control import books
+from gypsumfold.control import control_state
 from gypsumfold.control import orders
 from gypsumfold.control import records
 
@@ -37,7 +37,9 @@
         self.void = set()
 
     def append(self, record):
-        self.log.append(books.LoggedRecord(len(self.log), self.time, record))
+        self.log.append(
+            control_state.LoggedRecord(len(self.log), self.time, record)
+        )
 
     def lease_record(self, node, action):
         lease = node.book.lease
--- a/features/support/control_parts.py
+++ b/features/support/control_parts.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from gypsumfold import settings as settings_module
-from gypsumfold.control import books
+from gypsumfold.control import control_state
 from gypsumfold.control import leases
 from gypsumfold.control import orders
 from gypsumfold.control import records
@@ -59,7 +59,7 @@
             self.incarnation, f"n{number}", self.address
         )
         self.now = now * self.rate
-        self.books = books.ControlState(RETENTION, lambda: self.now)
+        self.books = control_state.ControlState(RETENTION, lambda: self.now)
         self.next = 0
         self.tenure = leases.Tenure(self.identity)
         self.checked = []
--- a/features/support/permission_model.py
+++ b/features/support/permission_model.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies
 
 from gypsumfold import settings as settings_module
-from gypsumfold.control import books
+from gypsumfold.control import control_state
 from gypsumfold.control import permissions
 from gypsumfold.control import records
 from gypsumfold.logservice import records as platform_records
@@ -28,7 +28,7 @@
     def __init__(self, rate):
         self.rate = rate
         self.now = 0.0
-        self.books = books.ControlState(86400.0, lambda: self.now)
+        self.books = control_state.ControlState(86400.0, lambda: self.now)
         self.permissions = permissions.Permissions(SETTINGS, self.books)
         self.permissions.nodes = NODES
         self.reads = []
@@ -44,7 +44,7 @@
         self.time = 0.0
         self.nodes = [Node(rate) for rate in RATES]
         self.log = []
-        state = books.ServiceState(SERVICE, 86400.0, 0, True).snapshot()
+        state = control_state.ServiceState(SERVICE, 86400.0, 0, True).snapshot()
         self.append(
             records.LeaseChanged(
                 SERVICE, "claim", "n", "n", "::1", 1, -1, -1, state
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -5,9 +5,9 @@
 
 from gypsumfold import clocks
 from gypsumfold import settings as settings_module
-from gypsumfold.control import books as books_module
 from gypsumfold.control import changing
 from gypsumfold.control import closing
+from gypsumfold.control import control_state as control_state_module
 from gypsumfold.control import evidence as evidence_module
 from gypsumfold.control import journal as journal_module
 from gypsumfold.control import leases
@@ -51,7 +51,7 @@
         self.identity = leases.Identity(
             node.incarnation, settings.node.name, settings.node.address
         )
-        self.books = books_module.ControlState(
+        self.books = control_state_module.ControlState(
             settings.platform.retention, clocks.now
         )
         self.tail = logs.Tail(
@@ -88,7 +88,9 @@
         self.books.caught_up()
         self.permissions.confirmed = asked
 
-    def read(self, noted: books_module.LoggedRecord, valid: bool) -> None:
+    def read(
+        self, noted: control_state_module.LoggedRecord, valid: bool
+    ) -> None:
         """Passes a record on to its service."""
         held = self.services.get(noted.record.service)
         if held is not None:
--- a/packages/gypsumfold/src/gypsumfold/control/leasing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leasing.py
@@ -7,7 +7,7 @@
 from gypsumfold import clocks
 from gypsumfold import events
 from gypsumfold import settings as settings_module
-from gypsumfold.control import books as books_module
+from gypsumfold.control import control_state as control_state_module
 from gypsumfold.control import journal as journal_module
 from gypsumfold.control import leases
 from gypsumfold.control import records
@@ -33,7 +33,7 @@
         service: str,
         settings: settings_module.ControlSection,
         identity: leases.Identity,
-        books: books_module.ControlState,
+        books: control_state_module.ControlState,
         journal: journal_module.Journal,
     ):
         self.service = service
@@ -48,7 +48,7 @@
         self.stopping = False
 
     @property
-    def book(self) -> books_module.ServiceState:
+    def book(self) -> control_state_module.ServiceState:
         """The book of the service."""
         return self.books.service_state(self.service)
 
@@ -71,7 +71,9 @@
         )
         return holds and self.tenure.is_valid(clocks.now())
 
-    def receive(self, noted: books_module.LoggedRecord, valid: bool) -> None:
+    def receive(
+        self, noted: control_state_module.LoggedRecord, valid: bool
+    ) -> None:
         """Takes one of the service's records in, after its book did."""
         record = noted.record
         if not valid or not isinstance(record, records.LeaseChanged):
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -16,7 +16,7 @@
 from gypsumfold import clocks
 from gypsumfold import exceptions
 from gypsumfold import settings as settings_module
-from gypsumfold.control import books as books_module
+from gypsumfold.control import control_state as control_state_module
 
 
 class Permit:
@@ -62,7 +62,7 @@
     def __init__(
         self,
         settings: settings_module.ControlSection,
-        books: books_module.ControlState,
+        books: control_state_module.ControlState,
     ):
         self.settings = settings
         self.books = books
