--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -5,13 +5,13 @@
 
 from gypsumfold import clocks
 from gypsumfold import settings as settings_module
-from gypsumfold.control import changing
 from gypsumfold.control import closing
 from gypsumfold.control import control_state as control_state_module
 from gypsumfold.control import evidence as evidence_module
 from gypsumfold.control import journal as journal_module
 from gypsumfold.control import leases
 from gypsumfold.control import leasing as leasing_module
+from gypsumfold.control import order_executor
 from gypsumfold.control import permissions as permissions_module
 from gypsumfold.control import planning
 from gypsumfold.control import sending
@@ -23,14 +23,14 @@
 # lost, and each may take as long as it waits.
 READS = 4
 # Seconds that a node which stops waits for its orders' answers.
-STOP_LIMIT = 2 * changing.ANSWER_TIMEOUT
+STOP_LIMIT = 2 * order_executor.ANSWER_TIMEOUT
 
 
 class Held(NamedTuple):
     """What runs for one service."""
 
     leasing: leasing_module.LeaseManager
-    changes: changing.OrderExecutor
+    changes: order_executor.OrderExecutor
 
 
 class Control:
@@ -120,7 +120,7 @@
             self.journal,
         )
         leasing.find_evidence = self.evidence.find
-        changes = changing.OrderExecutor(
+        changes = order_executor.OrderExecutor(
             self.settings,
             leasing,
             self.closer,
@@ -137,7 +137,7 @@
         self.node.supervise(f"planning-{service}", plan.run)
         return Held(leasing, changes)
 
-    def engines(self, service: str) -> list[changing.Engine]:
+    def engines(self, service: str) -> list[order_executor.Engine]:
         """Lists the engines of a service that were heard of."""
         found = []
         for watched in self.node.fleet.endpoints.values():
@@ -145,7 +145,7 @@
                 continue
             if isinstance(watched.load, engines.Load):
                 found.append(
-                    changing.Engine(
+                    order_executor.Engine(
                         watched.name, watched.declared, watched.load.role
                     )
                 )
