--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -9,8 +9,8 @@
 from gypsumfold.control import control_state as control_state_module
 from gypsumfold.control import evidence as evidence_module
 from gypsumfold.control import journal as journal_module
+from gypsumfold.control import lease_manager as lease_manager_module
 from gypsumfold.control import leases
-from gypsumfold.control import leasing as leasing_module
 from gypsumfold.control import order_executor
 from gypsumfold.control import permissions as permissions_module
 from gypsumfold.control import planning
@@ -29,7 +29,7 @@
 class Held(NamedTuple):
     """What runs for one service."""
 
-    leasing: leasing_module.LeaseManager
+    leasing: lease_manager_module.LeaseManager
     changes: order_executor.OrderExecutor
 
 
@@ -112,7 +112,7 @@
 
     def hold(self, service: str) -> Held:
         """Starts to seek the lease of a service."""
-        leasing = leasing_module.LeaseManager(
+        leasing = lease_manager_module.LeaseManager(
             service,
             self.settings.control,
             self.identity,
--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -14,7 +14,7 @@
 from gypsumfold import objects
 from gypsumfold import settings as settings_module
 from gypsumfold.control import closing
-from gypsumfold.control import leasing as leasing_module
+from gypsumfold.control import lease_manager as lease_manager_module
 from gypsumfold.control import orders
 from gypsumfold.control import records
 from gypsumfold.control import sending
@@ -56,7 +56,7 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        leasing: leasing_module.LeaseManager,
+        leasing: lease_manager_module.LeaseManager,
         closer: closing.Closer,
         sender: sending.Sender,
         engines: Callable[[], list[Engine]],
--- a/packages/gypsumfold/src/gypsumfold/control/planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/planning.py
@@ -6,7 +6,7 @@
 from gypsumfold import dispatching
 from gypsumfold import events
 from gypsumfold import objects
-from gypsumfold.control import leasing as leasing_module
+from gypsumfold.control import lease_manager as lease_manager_module
 from gypsumfold.decisions import roles
 from gypsumfold.decisions import types
 from gypsumfold.endpoints import engines
@@ -39,7 +39,7 @@
         service: str,
         fleet: fleet_module.Fleet,
         dispatchers: dict[str, dispatching.Dispatcher],
-        leasing: leasing_module.LeaseManager,
+        leasing: lease_manager_module.LeaseManager,
     ):
         self.service = service
         self.fleet = fleet
