--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -13,7 +13,7 @@
 from gypsumfold.control import leases
 from gypsumfold.control import order_executor
 from gypsumfold.control import permissions as permissions_module
-from gypsumfold.control import planning
+from gypsumfold.control import role_planning
 from gypsumfold.control import sending
 from gypsumfold.endpoints import engines
 from gypsumfold.logservice import logs
@@ -128,7 +128,7 @@
             lambda: self.engines(service),
             self.node.new_id,
         )
-        plan = planning.RolePlanning(
+        plan = role_planning.RolePlanning(
             service, self.node.fleet, self.node.dispatchers, leasing
         )
         changes.planned_role = plan.planned_role
