--- a/features/steps/control_rules_steps.py
+++ b/features/steps/control_rules_steps.py
@@ -7,9 +7,9 @@
 
 from gypsumfold import objects
 from gypsumfold.control import control_state
+from gypsumfold.control import desired_orders
 from gypsumfold.control import orders
 from gypsumfold.control import records
-from gypsumfold.control import wishes
 
 ENGINE = "lm-1"
 # Steps of one interleaving: enough for a takeover after a takeover.
@@ -77,7 +77,7 @@
     )
     state = orders.EngineState("e-1", role, frozenset(), 0, False, "", True, -1)
     found = context.book.orders
-    return wishes.choose(
+    return desired_orders.choose(
         found.wishes.get(ENGINE, []),
         found.pins.get(ENGINE),
         endpoint,
--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -14,11 +14,11 @@
 from gypsumfold import objects
 from gypsumfold import settings as settings_module
 from gypsumfold.control import closing
+from gypsumfold.control import desired_orders
 from gypsumfold.control import lease_manager as lease_manager_module
 from gypsumfold.control import orders
 from gypsumfold.control import records
 from gypsumfold.control import sending
-from gypsumfold.control import wishes
 
 # Seconds between two looks at the engines.
 CHECK_INTERVAL = 0.1
@@ -135,7 +135,7 @@
             return
         state = await self.sender.state(engine.declared.address)
         wanted = self.choose(engine, state)
-        if wanted is not None and wishes.is_met(wanted, state):
+        if wanted is not None and desired_orders.is_met(wanted, state):
             await self.record_met(engine, wanted)
             return
         if wanted is None or not self.is_due(engine):
@@ -155,9 +155,9 @@
 
     def choose(
         self, engine: Engine, state: orders.EngineState
-    ) -> wishes.NextOrder | None:
+    ) -> desired_orders.NextOrder | None:
         """Picks the next order for an engine."""
-        return wishes.choose(
+        return desired_orders.choose(
             self.logged_orders.desired.get(engine.name, []),
             self.logged_orders.pins.get(engine.name),
             engine.declared,
@@ -188,7 +188,7 @@
         return len(taken) < self.settings.control.changes
 
     async def record_met(
-        self, engine: Engine, wanted: wishes.NextOrder
+        self, engine: Engine, wanted: desired_orders.NextOrder
     ) -> None:
         """Notes that a wish is fulfilled already."""
         await self.leasing.journal.write(
@@ -235,7 +235,7 @@
     async def record_intent(
         self,
         engine: Engine,
-        wanted: wishes.NextOrder,
+        wanted: desired_orders.NextOrder,
         state: orders.EngineState,
         supersedes: str,
     ) -> None:
@@ -294,7 +294,7 @@
         if not self.can_order(engine) or not self.is_due(engine):
             return
         if await self.close_until_idle(engine, order.verb):
-            wanted = wishes.NextOrder(
+            wanted = desired_orders.NextOrder(
                 order.verb, order.subject, order.desired_offset, ""
             )
             await self.record_intent(engine, wanted, state, order.id)
