--- a/features/steps/control_rules_steps.py
+++ b/features/steps/control_rules_steps.py
@@ -78,7 +78,7 @@
     state = orders.EngineState("e-1", role, frozenset(), 0, False, "", True, -1)
     found = context.book.orders
     return desired_orders.choose(
-        found.wishes.get(ENGINE, []),
+        found.desired.get(ENGINE, []),
         found.pins.get(ENGINE),
         endpoint,
         planned,
@@ -105,7 +105,7 @@
         "order-1",
         context.next.verb,
         context.next.subject,
-        context.next.wish,
+        context.next.desired_offset,
         "e-1",
         "mixed",
     )
--- a/features/support/control_model.py
+++ b/features/support/control_model.py
@@ -50,7 +50,7 @@
             node.incarnation,
             node.identity.node,
             node.address,
-            node.tenure.sending(node.now),
+            node.tenure.next_sequence(node.now),
             lease.last,
             token,
             node.book.snapshot(),
@@ -87,7 +87,7 @@
         ended = isinstance(record, records.OrderFinished) and valid
         if ended and record.result == "void":
             self.void.add(record.id)
-        if node.book.begun:
+        if node.book.is_known:
             state = node.book.snapshot()._replace(time=0.0)
             known = self.seen.setdefault(noted.offset, state)
             assert known == state, (known, state)
@@ -95,20 +95,20 @@
     @stateful.rule(at=nodes_at)
     def renew_or_claim(self, at):
         node = self.nodes[at]
-        if not node.book.begun or node.next < self.first:
+        if not node.book.is_known or node.next < self.first:
             return
         lease = node.book.lease
-        if lease.held_by(node.incarnation, node.tenure.token):
+        if lease.is_held_by(node.incarnation, node.tenure.token):
             self.flying.append(self.lease_record(node, records.RENEW))
             return
-        if lease.claimable(node.now, control_parts.SETTINGS):
+        if lease.is_claimable(node.now, control_parts.SETTINGS):
             self.flying.append(self.lease_record(node, records.CLAIM))
 
     @stateful.rule(at=nodes_at)
     def release(self, at):
         node = self.nodes[at]
         lease = node.book.lease
-        if not lease.held_by(node.incarnation, node.tenure.token):
+        if not lease.is_held_by(node.incarnation, node.tenure.token):
             return
         if node.checked or self.own_outstanding(node):
             return
@@ -131,9 +131,11 @@
     def intend(self, at, engine):
         node = self.nodes[at]
         outstanding = node.book.orders.outstanding.get(engine)
-        if not node.tenure.valid(node.now):
+        if not node.tenure.is_valid(node.now):
             return
-        if not control_parts.CHECKS[engine] and not node.book.lease.undisputed(
+        if not control_parts.CHECKS[
+            engine
+        ] and not node.book.lease.is_undisputed(
             node.now, control_parts.SETTINGS
         ):
             return
@@ -170,7 +172,7 @@
             if given_up is None:
                 return False
         else:
-            silent = node.book.lease.undisputed(
+            silent = node.book.lease.is_undisputed(
                 node.now, control_parts.SETTINGS
             )
         result = orders.resolve(
@@ -320,10 +322,10 @@
         """The holder drops those whose quarantine is over."""
         node = self.nodes[at]
         lease = node.book.lease
-        if not node.tenure.valid(node.now):
+        if not node.tenure.is_valid(node.now):
             return
         for holder in lease.predecessors:
-            if lease.harmless(holder, node.now, control_parts.SETTINGS):
+            if lease.is_harmless(holder, node.now, control_parts.SETTINGS):
                 self.flying.append(
                     records.HolderCleared(
                         control_parts.SERVICE, node.tenure.token, holder.token
