--- a/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
+++ b/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
@@ -48,14 +48,14 @@
         self.stopping = False
 
     @property
-    def book(self) -> control_state_module.ServiceState:
+    def service_state(self) -> control_state_module.ServiceState:
         """The book of the service."""
         return self.books.service_state(self.service)
 
     @property
     def lease(self) -> leases.Lease:
         """What the log says of the lease."""
-        return self.book.lease
+        return self.service_state.lease
 
     def is_held(self) -> bool:
         """Whether the log says that this incarnation is the holder."""
@@ -93,7 +93,7 @@
             await asyncio.sleep(CHECK_INTERVAL)
             if not self.journal.tail.caught_up.is_set():
                 continue
-            if not self.book.is_known:
+            if not self.service_state.is_known:
                 continue
             await self.keep()
             await self.report_ended_holders()
@@ -166,7 +166,7 @@
                 sequence,
                 self.lease.last,
                 token,
-                self.book.snapshot(),
+                self.service_state.snapshot(),
             )
         )
 
--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -79,7 +79,7 @@
     @property
     def logged_orders(self) -> orders.Orders:
         """What the log says of the service's orders."""
-        return self.leasing.book.orders
+        return self.leasing.service_state.orders
 
     def is_settled(self) -> bool:
         """Whether nothing that this process sent can be on its way."""
