--- a/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
+++ b/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
@@ -39,7 +39,7 @@
         self.service = service
         self.settings = settings
         self.identity = identity
-        self.books = books
+        self.control_state = books
         self.journal = journal
         self.tenure = leases.Tenure(identity)
         self.is_settled: Callable[[], bool] = lambda: True
@@ -50,7 +50,7 @@
     @property
     def service_state(self) -> control_state_module.ServiceState:
         """The book of the service."""
-        return self.books.service_state(self.service)
+        return self.control_state.service_state(self.service)
 
     @property
     def lease(self) -> leases.Lease:
