--- a/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
+++ b/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
@@ -33,13 +33,13 @@
         service: str,
         settings: settings_module.ControlSection,
         identity: leases.Identity,
-        books: control_state_module.ControlState,
+        control_state: control_state_module.ControlState,
         journal: journal_module.Journal,
     ):
         self.service = service
         self.settings = settings
         self.identity = identity
-        self.control_state = books
+        self.control_state = control_state
         self.journal = journal
         self.tenure = leases.Tenure(identity)
         self.is_settled: Callable[[], bool] = lambda: True
