--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -63,7 +63,7 @@
             closed.append(thrift.ClosedEngine(engine, offset))
         return thrift.ClosedEngines(
             self.tail.caught_up.is_set(),
-            self.permissions.books.through,
+            self.permissions.control_state.through,
             closed,
         )
 
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -65,7 +65,7 @@
         books: control_state_module.ControlState,
     ):
         self.settings = settings
-        self.books = books
+        self.control_state = books
         self.reported_closings: dict[str, int] = {}
         self.cleared: dict[str, int] = {}
         self.confirmed = float("-inf")
@@ -76,10 +76,10 @@
     def closed(self) -> dict[str, int]:
         """Lists the closed engines with the offsets of their closings."""
         found = {}
-        for book in self.books.services.values():
+        for book in self.control_state.services.values():
             found.update(book.closed_engines())
         for engine, offset in self.reported_closings.items():
-            if offset > self.books.through:
+            if offset > self.control_state.through:
                 found[engine] = max(offset, found.get(engine, -1))
         for engine, through in self.cleared.items():
             if engine in found and through > found[engine]:
