--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -62,10 +62,10 @@
     def __init__(
         self,
         settings: settings_module.ControlSection,
-        books: control_state_module.ControlState,
+        control_state: control_state_module.ControlState,
     ):
         self.settings = settings
-        self.control_state = books
+        self.control_state = control_state
         self.reported_closings: dict[str, int] = {}
         self.cleared: dict[str, int] = {}
         self.confirmed = float("-inf")
