--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -88,7 +88,7 @@
 def lease_rows(control: control_module.Control) -> list[tuple]:
     """Lists the leases; ``heard`` is seconds since the last renewal."""
     rows = []
-    for service, book in sorted(control.books.services.items()):
+    for service, book in sorted(control.control_state.services.items()):
         lease = book.lease
         if lease.holder is None:
             continue
@@ -110,7 +110,7 @@
 def order_rows(control: control_module.Control) -> list[tuple]:
     """Lists what is wished, outstanding, closed and finished."""
     rows = []
-    for service, book in sorted(control.books.services.items()):
+    for service, book in sorted(control.control_state.services.items()):
         found = book.orders
         for each in found.finished:
             rows.append(row(each.engine, service, each.result, each.order))
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -51,7 +51,7 @@
         self.identity = leases.Identity(
             node.incarnation, settings.node.name, settings.node.address
         )
-        self.books = control_state_module.ControlState(
+        self.control_state = control_state_module.ControlState(
             settings.platform.retention, clocks.now
         )
         self.tail = logs.Tail(
@@ -62,11 +62,11 @@
             ),
         )
         self.permissions = permissions_module.Permissions(
-            settings.control, self.books
+            settings.control, self.control_state
         )
-        self.tail.subscribe(self.books.apply, self.gap)
+        self.tail.subscribe(self.control_state.apply, self.gap)
         self.tail.end_listeners.append(self.at_end)
-        self.books.listeners.append(self.read)
+        self.control_state.listeners.append(self.read)
         self.journal = journal_module.Journal(
             node.log, self.tail, settings.platform
         )
@@ -79,13 +79,13 @@
 
     def gap(self, wanted: int, first: int) -> None:
         """Begins anew: the log has dropped what was to be read next."""
-        self.books.gap(wanted, first)
+        self.control_state.gap(wanted, first)
         for held in self.services.values():
             held.leasing.tenure.end()
 
     def at_end(self, asked: float) -> None:
         """Confirms all permissions: every closing was read."""
-        self.books.caught_up()
+        self.control_state.caught_up()
         self.permissions.confirmed = asked
 
     def read(
@@ -116,7 +116,7 @@
             service,
             self.settings.control,
             self.identity,
-            self.books,
+            self.control_state,
             self.journal,
         )
         leasing.find_evidence = self.evidence.find
