--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -63,7 +63,7 @@
         new_id: Callable[[], str],
     ):
         self.settings = settings
-        self.leasing = leasing
+        self.lease_manager = leasing
         self.closer = closer
         self.sender = sender
         self.engines = engines
@@ -79,7 +79,7 @@
     @property
     def logged_orders(self) -> orders.Orders:
         """What the log says of the service's orders."""
-        return self.leasing.service_state.orders
+        return self.lease_manager.service_state.orders
 
     def is_settled(self) -> bool:
         """Whether nothing that this process sent can be on its way."""
@@ -88,11 +88,11 @@
 
     def can_order(self, engine: Engine) -> bool:
         """Whether this node may give the engine orders at this instant."""
-        if not self.leasing.is_valid() or self.leasing.stopping:
+        if not self.lease_manager.is_valid() or self.lease_manager.stopping:
             return False
         return (
             engine.declared.checks_tokens
-            or self.leasing.lease.is_undisputed(
+            or self.lease_manager.lease.is_undisputed(
                 clocks.now(), self.settings.control
             )
         )
@@ -103,7 +103,10 @@
             await asyncio.sleep(CHECK_INTERVAL)
             self.prune()
             for engine in self.engines():
-                if not self.leasing.is_valid() or self.leasing.stopping:
+                if (
+                    not self.lease_manager.is_valid()
+                    or self.lease_manager.stopping
+                ):
                     break
                 try:
                     await self.step(engine)
@@ -191,11 +194,11 @@
         self, engine: Engine, wanted: desired_orders.NextOrder
     ) -> None:
         """Notes that a wish is fulfilled already."""
-        await self.leasing.journal.write(
+        await self.lease_manager.journal.write(
             records.DesiredOrderMet(
-                self.leasing.service,
+                self.lease_manager.service,
                 engine.name,
-                self.leasing.tenure.token,
+                self.lease_manager.tenure.token,
                 wanted.desired_offset,
                 engine.declared.role,
             )
@@ -206,9 +209,11 @@
         self.closer.forget(engine.name)
         if engine.name not in self.logged_orders.closed:
             return
-        await self.leasing.journal.write(
+        await self.lease_manager.journal.write(
             records.EngineOpened(
-                self.leasing.service, engine.name, self.leasing.tenure.token
+                self.lease_manager.service,
+                engine.name,
+                self.lease_manager.tenure.token,
             )
         )
 
@@ -218,11 +223,11 @@
             return True
         offset = self.logged_orders.closed.get(engine.name)
         if offset is None:
-            await self.leasing.journal.write(
+            await self.lease_manager.journal.write(
                 records.EngineClosed(
-                    self.leasing.service,
+                    self.lease_manager.service,
                     engine.name,
-                    self.leasing.tenure.token,
+                    self.lease_manager.tenure.token,
                 )
             )
             return False
@@ -241,12 +246,12 @@
     ) -> None:
         """Writes an order down; it is sent once it was read back."""
         self.count_attempt(engine)
-        await self.leasing.journal.write(
+        await self.lease_manager.journal.write(
             records.OrderIntended(
-                self.leasing.service,
+                self.lease_manager.service,
                 engine.name,
-                self.leasing.tenure.token,
-                self.leasing.identity.incarnation,
+                self.lease_manager.tenure.token,
+                self.lease_manager.identity.incarnation,
                 self.new_id(),
                 wanted.verb,
                 wanted.subject,
@@ -261,7 +266,7 @@
         self, engine: Engine, order: records.Order
     ) -> None:
         """Sends an outstanding order, or finds out what became of it."""
-        mine = order.author == self.leasing.identity.incarnation
+        mine = order.author == self.lease_manager.identity.incarnation
         if mine and order.id not in self.sends:
             self.sends[order.id] = float("inf")
             task = asyncio.create_task(self.send(engine, order))
@@ -271,7 +276,9 @@
         if self.sends.get(order.id) == float("inf"):
             return
         now = clocks.now()
-        silent = self.leasing.lease.is_undisputed(now, self.settings.control)
+        silent = self.lease_manager.lease.is_undisputed(
+            now, self.settings.control
+        )
         if mine:
             quarantine = self.settings.control.quarantine
             silent = now > self.sends[order.id] + quarantine
@@ -331,8 +338,8 @@
             return False
         return orders.may_send(
             order,
-            self.leasing.tenure,
-            self.leasing.lease,
+            self.lease_manager.tenure,
+            self.lease_manager.lease,
             engine.declared.checks_tokens,
             clocks.now(),
             self.settings.control,
@@ -351,8 +358,8 @@
             order=order.id,
             result=result,
         )
-        await self.leasing.journal.write(
+        await self.lease_manager.journal.write(
             records.OrderFinished(
-                self.leasing.service, engine.name, order.id, result
+                self.lease_manager.service, engine.name, order.id, result
             )
         )
