--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -56,14 +56,14 @@
     def __init__(
         self,
         settings: settings_module.Settings,
-        leasing: lease_manager_module.LeaseManager,
+        lease_manager: lease_manager_module.LeaseManager,
         closer: closing.Closer,
         sender: sending.Sender,
         engines: Callable[[], list[Engine]],
         new_id: Callable[[], str],
     ):
         self.settings = settings
-        self.lease_manager = leasing
+        self.lease_manager = lease_manager
         self.closer = closer
         self.sender = sender
         self.engines = engines
@@ -74,7 +74,7 @@
         self.next_attempt_at: dict[str, float] = {}
         self.tasks: set[asyncio.Task] = set()
         self.planned_role: Callable[[str], str | None] = lambda engine: None
-        leasing.is_settled = self.is_settled
+        lease_manager.is_settled = self.is_settled
 
     @property
     def logged_orders(self) -> orders.Orders:
