--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -68,7 +68,7 @@
         self.sender = sender
         self.engines = engines
         self.new_id = new_id
-        self.sends: dict[str, float] = {}
+        self.send_ended_at: dict[str, float] = {}
         self.blocked: set[str] = set()
         self.attempts: dict[str, int] = {}
         self.next_attempt_at: dict[str, float] = {}
@@ -84,7 +84,7 @@
     def is_settled(self) -> bool:
         """Whether nothing that this process sent can be on its way."""
         limit = clocks.now() - self.settings.control.quarantine
-        return all(given_up < limit for given_up in self.sends.values())
+        return all(given_up < limit for given_up in self.send_ended_at.values())
 
     def can_order(self, engine: Engine) -> bool:
         """Whether this node may give the engine orders at this instant."""
@@ -120,9 +120,9 @@
             order.id for order in self.logged_orders.outstanding.values()
         }
         limit = clocks.now() - self.settings.control.quarantine
-        for order_id, given_up in list(self.sends.items()):
+        for order_id, given_up in list(self.send_ended_at.items()):
             if order_id not in open_ids and given_up < limit:
-                del self.sends[order_id]
+                del self.send_ended_at[order_id]
 
     async def step(self, engine: Engine) -> None:
         """Does the next thing for one engine."""
@@ -267,13 +267,13 @@
     ) -> None:
         """Sends an outstanding order, or finds out what became of it."""
         mine = order.author == self.lease_manager.identity.incarnation
-        if mine and order.id not in self.sends:
-            self.sends[order.id] = float("inf")
+        if mine and order.id not in self.send_ended_at:
+            self.send_ended_at[order.id] = float("inf")
             task = asyncio.create_task(self.send(engine, order))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
             return
-        if self.sends.get(order.id) == float("inf"):
+        if self.send_ended_at.get(order.id) == float("inf"):
             return
         now = clocks.now()
         silent = self.lease_manager.lease.is_undisputed(
@@ -281,7 +281,7 @@
         )
         if mine:
             quarantine = self.settings.control.quarantine
-            silent = now > self.sends[order.id] + quarantine
+            silent = now > self.send_ended_at[order.id] + quarantine
         state = await self.sender.state(engine.declared.address)
         found = orders.resolve(
             order, state, engine.declared.checks_tokens, silent
@@ -311,7 +311,7 @@
 
         def check() -> None:
             if not self.may_send(engine, order):
-                self.sends[order.id] = float("-inf")
+                self.send_ended_at[order.id] = float("-inf")
                 raise exceptions.LeaseLost(order.id)
 
         events.log(
@@ -325,11 +325,11 @@
         answer = await self.sender.send(
             engine.declared.address, order, check, ANSWER_TIMEOUT
         )
-        if self.sends[order.id] == float("-inf"):
+        if self.send_ended_at[order.id] == float("-inf"):
             return
-        self.sends[order.id] = clocks.now()
+        self.send_ended_at[order.id] = clocks.now()
         if answer != sending.Answer.UNKNOWN:
-            self.sends[order.id] = float("-inf")
+            self.send_ended_at[order.id] = float("-inf")
             await self.record_result(engine, order, answer.value)
 
     def may_send(self, engine: Engine, order: records.Order) -> bool:
