--- a/packages/gypsumfold/src/gypsumfold/control/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/role_planning.py
@@ -44,7 +44,7 @@
         self.service = service
         self.fleet = fleet
         self.dispatchers = dispatchers
-        self.leasing = leasing
+        self.lease_manager = leasing
         self.choices: dict[str, types.Role] = {}
         self.planner: roles.Planner | None = None
 
@@ -74,7 +74,7 @@
             declared = self.declared
             if declared is None or not declared.planner:
                 continue
-            if not self.leasing.is_valid():
+            if not self.lease_manager.is_valid():
                 self.choices.clear()
                 self.planner = None
                 continue
