--- a/packages/gypsumfold/src/gypsumfold/control/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/role_planning.py
@@ -39,12 +39,12 @@
         service: str,
         fleet: fleet_module.Fleet,
         dispatchers: dict[str, dispatching.Dispatcher],
-        leasing: lease_manager_module.LeaseManager,
+        lease_manager: lease_manager_module.LeaseManager,
     ):
         self.service = service
         self.fleet = fleet
         self.dispatchers = dispatchers
-        self.lease_manager = leasing
+        self.lease_manager = lease_manager
         self.choices: dict[str, types.Role] = {}
         self.planner: roles.Planner | None = None
 
