--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -29,7 +29,7 @@
 class Held(NamedTuple):
     """What runs for one service."""
 
-    leasing: lease_manager_module.LeaseManager
+    lease_manager: lease_manager_module.LeaseManager
     changes: order_executor.OrderExecutor
 
 
@@ -81,7 +81,7 @@
         """Begins anew: the log has dropped what was to be read next."""
         self.control_state.gap(wanted, first)
         for held in self.services.values():
-            held.leasing.tenure.end()
+            held.lease_manager.tenure.end()
 
     def at_end(self, asked: float) -> None:
         """Confirms all permissions: every closing was read."""
@@ -94,7 +94,7 @@
         """Passes a record on to its service."""
         held = self.services.get(noted.record.service)
         if held is not None:
-            held.leasing.receive(noted, valid)
+            held.lease_manager.receive(noted, valid)
 
     def reconfigure(self) -> None:
         """Follows a change of configuration."""
@@ -155,9 +155,9 @@
         """Gives all leases up, at the end of a graceful shutdown."""
         limit = clocks.now() + STOP_LIMIT
         for held in self.services.values():
-            held.leasing.stopping = True
+            held.lease_manager.stopping = True
         sends = [t for h in self.services.values() for t in h.changes.tasks]
         if sends:
             await asyncio.wait(sends, timeout=limit - clocks.now())
-        releases = [h.leasing.release() for h in self.services.values()]
+        releases = [h.lease_manager.release() for h in self.services.values()]
         await asyncio.gather(*releases)
