--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -30,7 +30,7 @@
     """What runs for one service."""
 
     lease_manager: lease_manager_module.LeaseManager
-    changes: order_executor.OrderExecutor
+    executor: order_executor.OrderExecutor
 
 
 class Control:
@@ -156,7 +156,7 @@
         limit = clocks.now() + STOP_LIMIT
         for held in self.services.values():
             held.lease_manager.stopping = True
-        sends = [t for h in self.services.values() for t in h.changes.tasks]
+        sends = [t for h in self.services.values() for t in h.executor.tasks]
         if sends:
             await asyncio.wait(sends, timeout=limit - clocks.now())
         releases = [h.lease_manager.release() for h in self.services.values()]
