--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -26,7 +26,7 @@
 STOP_LIMIT = 2 * order_executor.ANSWER_TIMEOUT
 
 
-class Held(NamedTuple):
+class ServiceControl(NamedTuple):
     """What runs for one service."""
 
     lease_manager: lease_manager_module.LeaseManager
@@ -75,7 +75,7 @@
         self.evidence = evidence_module.Evidence(
             self.identity, node.peers, node.membership
         )
-        self.services: dict[str, Held] = {}
+        self.services: dict[str, ServiceControl] = {}
 
     def gap(self, wanted: int, first: int) -> None:
         """Begins anew: the log has dropped what was to be read next."""
@@ -110,7 +110,7 @@
                 continue
             self.services[name] = self.hold(name)
 
-    def hold(self, service: str) -> Held:
+    def hold(self, service: str) -> ServiceControl:
         """Starts to seek the lease of a service."""
         leasing = lease_manager_module.LeaseManager(
             service,
@@ -135,7 +135,7 @@
         self.node.supervise(f"lease-{service}", leasing.run)
         self.node.supervise(f"changes-{service}", changes.run)
         self.node.supervise(f"planning-{service}", plan.run)
-        return Held(leasing, changes)
+        return ServiceControl(leasing, changes)
 
     def engines(self, service: str) -> list[order_executor.Engine]:
         """Lists the engines of a service that were heard of."""
