--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -108,9 +108,9 @@
         for name, service in declared.items():
             if name in self.services or service.protocol != "engine":
                 continue
-            self.services[name] = self.hold(name)
+            self.services[name] = self.start_service(name)
 
-    def hold(self, service: str) -> ServiceControl:
+    def start_service(self, service: str) -> ServiceControl:
         """Starts to seek the lease of a service."""
         leasing = lease_manager_module.LeaseManager(
             service,
