--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -66,7 +66,7 @@
         )
         self.tail.subscribe(self.control_state.apply, self.gap)
         self.tail.end_listeners.append(self.at_end)
-        self.control_state.listeners.append(self.read)
+        self.control_state.listeners.append(self.receive)
         self.journal = journal_module.Journal(
             node.log, self.tail, settings.platform
         )
@@ -88,7 +88,7 @@
         self.control_state.caught_up()
         self.permissions.confirmed = asked
 
-    def read(
+    def receive(
         self, noted: control_state_module.LoggedRecord, valid: bool
     ) -> None:
         """Passes a record on to its service."""
