--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -241,7 +241,7 @@
 
     def open_claims(self, attempt: Attempt) -> list[str]:
         """The claims of the attempt's key that still count."""
-        slot = self.claims.slots.get(attempt.place)
+        slot = self.claims.key_states.get(attempt.place)
         return [] if slot is None else slot.claims
 
     def release(self, attempt: Attempt, closes: bool) -> None:
--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -212,7 +212,7 @@
         self.retention = retention
         self.max_ahead = min(MAX_AHEAD_SECONDS, MAX_AHEAD_FRACTION * retention)
         self.max_key_age = retention * (1 - AGE_MARGIN_FRACTION)
-        self.slots: dict[tuple[str, str], KeyState] = {}
+        self.key_states: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
         self.min_key_time = 0.0
         self.has_gap = False
@@ -236,11 +236,11 @@
         """Takes one record that the log took at a time by its clock."""
         place = (record.account, record.key)
         valid = self.age(record.key, time) == Age.VALID
-        if place not in self.slots:
+        if place not in self.key_states:
             if not valid or isinstance(record, Outcome):
                 return
-            self.slots[place] = KeyState(place, time)
-        slot = self.slots[place]
+            self.key_states[place] = KeyState(place, time)
+        slot = self.key_states[place]
         if isinstance(record, Claim) and valid:
             slot.add_claim(record)
         elif isinstance(record, Release):
@@ -260,11 +260,11 @@
 
     def prune(self) -> None:
         """Forgets keys of which the log keeps no claim."""
-        while self.slots:
-            place = next(iter(self.slots))
-            if self.slots[place].time > self.time - self.retention:
+        while self.key_states:
+            place = next(iter(self.key_states))
+            if self.key_states[place].time > self.time - self.retention:
                 break
-            del self.slots[place]
+            del self.key_states[place]
 
     def age(self, key: str, now: float) -> Age:
         """Judges a key's own time.
@@ -294,7 +294,7 @@
             The step; `Step.DISPATCH` stays true until the attempt itself
             appends a release or an outcome.
         """
-        slot = self.slots.get((claim.account, claim.key))
+        slot = self.key_states.get((claim.account, claim.key))
         if slot is None:
             return Step.VOID if read_back else Step.CLAIM
         if slot.digest and slot.digest != claim.digest:
@@ -313,12 +313,12 @@
 
     def outcome(self, account: str, key: str) -> Outcome | None:
         """The recorded outcome of a key, where there is one."""
-        slot = self.slots.get((account, key))
+        slot = self.key_states.get((account, key))
         return None if slot is None else slot.outcome
 
     def winner(self, account: str, key: str) -> str:
         """The id of the claim that may run a key; empty for none."""
-        slot = self.slots.get((account, key))
+        slot = self.key_states.get((account, key))
         return "" if slot is None else slot.winner()
 
 
