--- a/packages/gypsumfold/src/gypsumfold/control/control_state.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control_state.py
@@ -134,7 +134,7 @@
         retention. All nodes then go on from what its writer knew.
         """
         begins = record.action == records.CLAIM and record.previous == -1
-        if not begins or self.lease.last == -1:
+        if not begins or self.lease.last_offset == -1:
             return
         if self.lease.is_next(-1, time):
             self.lease.load(record.state, now)
@@ -159,7 +159,7 @@
             wishes[engine] = tuple(found)
         return records.Snapshot(
             self.through,
-            self.lease.last,
+            self.lease.last_offset,
             self.lease.time,
             self.lease.holder,
             self.lease.released,
--- a/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
+++ b/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
@@ -164,7 +164,7 @@
                 self.identity.node,
                 self.identity.address,
                 sequence,
-                self.lease.last,
+                self.lease.last_offset,
                 token,
                 self.service_state.snapshot(),
             )
--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -42,7 +42,7 @@
 
     def __init__(self, retention: float):
         self.retention = retention
-        self.last = -1
+        self.last_offset = -1
         self.time = 0.0
         self.received_at = 0.0
         self.holder: records.Holder | None = None
@@ -86,7 +86,7 @@
         A chain older than the log's retention may be begun anew, since a
         node that started later cannot know of it.
         """
-        if previous == self.last:
+        if previous == self.last_offset:
             return True
         return previous == -1 and time - self.time > self.retention
 
@@ -135,7 +135,7 @@
 
     def set_last(self, offset: int, time: float, now: float) -> None:
         """Remembers the last valid record."""
-        self.last = offset
+        self.last_offset = offset
         self.time = time
         self.received_at = now
 
@@ -205,7 +205,7 @@
 
     def load(self, state: records.Snapshot, now: float) -> None:
         """Starts from what another node had read."""
-        self.last = state.last
+        self.last_offset = state.last
         self.time = state.time
         self.received_at = now
         self.holder = state.holder
