--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -205,7 +205,7 @@
 
     def load(self, state: records.Snapshot, now: float) -> None:
         """Starts from what another node had read."""
-        self.last_offset = state.last
+        self.last_offset = state.last_offset
         self.time = state.time
         self.received_at = now
         self.holder = state.holder
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -101,7 +101,7 @@
     """
 
     through: int
-    last: int
+    last_offset: int
     time: float
     holder: Holder | None
     released: bool
