--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -235,7 +235,7 @@
         self.sequence = 0
         self.sent: dict[int, float] = {}
         self.token = -1
-        self.until = float("-inf")
+        self.valid_until = float("-inf")
 
     def next_sequence(self, now: float) -> int:
         """Numbers a claim or renewal that is sent after this instant."""
@@ -260,18 +260,20 @@
             return
         token = lease.holder.token
         if token != self.token:
-            self.until = float("-inf")
+            self.valid_until = float("-inf")
         self.token = token
-        self.until = max(self.until, self.sent[record.sequence] + duration)
+        self.valid_until = max(
+            self.valid_until, self.sent[record.sequence] + duration
+        )
         for older in [s for s in self.sent if s <= record.sequence]:
             del self.sent[older]
 
     def end(self) -> None:
         """Gives the lease up, at once and before the release is appended."""
         self.token = -1
-        self.until = float("-inf")
+        self.valid_until = float("-inf")
         self.sent.clear()
 
     def is_valid(self, now: float) -> bool:
         """Whether orders may go out at this instant."""
-        return self.token != -1 and now < self.until
+        return self.token != -1 and now < self.valid_until
