--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -110,7 +110,7 @@
             if engine not in closed and through > offset:
                 self.cleared[engine] = through
 
-    def until(self) -> float:
+    def expires_at(self) -> float:
         """When this node's permissions lapse."""
         return (
             max(self.confirmed, self.last_majority_contact())
@@ -127,7 +127,7 @@
 
     def allows(self, engine: str, now: float) -> bool:
         """Whether a dispatch to an engine may be written at this instant."""
-        return now < self.until() and engine not in self.closed()
+        return now < self.expires_at() and engine not in self.closed()
 
     def check(self, engine: str, now: float) -> None:
         """Insists on the permission.
