--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -67,7 +67,7 @@
         self.settings = settings
         self.control_state = control_state
         self.reported_closings: dict[str, int] = {}
-        self.cleared: dict[str, int] = {}
+        self.open_through: dict[str, int] = {}
         self.confirmed = float("-inf")
         self.contacts: dict[str, float] = {}
         self.nodes = 1
@@ -81,7 +81,7 @@
         for engine, offset in self.reported_closings.items():
             if offset > self.control_state.through:
                 found[engine] = max(offset, found.get(engine, -1))
-        for engine, through in self.cleared.items():
+        for engine, through in self.open_through.items():
             if engine in found and through > found[engine]:
                 del found[engine]
         return found
@@ -108,7 +108,7 @@
             self.record_closing(engine, offset)
         for engine, offset in self.closed().items():
             if engine not in closed and through > offset:
-                self.cleared[engine] = through
+                self.open_through[engine] = through
 
     def expires_at(self) -> float:
         """When this node's permissions lapse."""
