--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -59,7 +59,7 @@
     async def on_closed(self, message, address: str):
         """Says what is closed, as far as this node knows."""
         closed = []
-        for engine, offset in self.permissions.closed().items():
+        for engine, offset in self.permissions.closed_engines().items():
             closed.append(thrift.ClosedEngine(engine, offset))
         return thrift.ClosedEngines(
             self.tail.caught_up.is_set(),
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -73,7 +73,7 @@
         self.nodes = 1
         self.dispatching = collections.Counter()
 
-    def closed(self) -> dict[str, int]:
+    def closed_engines(self) -> dict[str, int]:
         """Lists the closed engines with the offsets of their closings."""
         found = {}
         for book in self.control_state.services.values():
@@ -106,7 +106,7 @@
         self.contacts[peer] = asked
         for engine, offset in closed.items():
             self.record_closing(engine, offset)
-        for engine, offset in self.closed().items():
+        for engine, offset in self.closed_engines().items():
             if engine not in closed and through > offset:
                 self.open_through[engine] = through
 
@@ -127,7 +127,7 @@
 
     def allows(self, engine: str, now: float) -> bool:
         """Whether a dispatch to an engine may be written at this instant."""
-        return now < self.expires_at() and engine not in self.closed()
+        return now < self.expires_at() and engine not in self.closed_engines()
 
     def check(self, engine: str, now: float) -> None:
         """Insists on the permission.
