--- a/packages/gypsumfold/src/gypsumfold/control/evidence.py
+++ b/packages/gypsumfold/src/gypsumfold/control/evidence.py
@@ -27,14 +27,14 @@
         self.identity = identity
         self.peers = peers
         self.membership = membership
-        self.listed: set[tuple[str, str]] = set()
+        self.listed_vms: set[tuple[str, str]] = set()
 
     def update_listed(self) -> None:
         """Remembers which VMs were on the list."""
         if self.membership.latest is None:
             return
         for vm in self.membership.latest.vms:
-            self.listed.add((vm.name, vm.address))
+            self.listed_vms.add((vm.name, vm.address))
 
     def find(self, holder: records.Holder) -> str:
         """Says what shows that a holder is gone; empty if nothing does."""
@@ -47,7 +47,7 @@
             if same and is_newer_incarnation(incarnation, holder):
                 return f"{incarnation} answers at {address}"
         place = (holder.node, holder.address)
-        if place not in self.listed:
+        if place not in self.listed_vms:
             return ""
         for vm in self.membership.latest.vms:
             if (vm.name, vm.address) == place:
