--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -113,9 +113,11 @@
     for service, book in sorted(control.control_state.services.items()):
         found = book.orders
         for each in found.finished:
-            rows.append(row(each.engine, service, each.result, each.order))
+            rows.append(
+                order_row(each.engine, service, each.result, each.order)
+            )
         for engine, order in found.outstanding.items():
-            rows.append(row(engine, service, "outstanding", order))
+            rows.append(order_row(engine, service, "outstanding", order))
         for engine, waiting in found.desired.items():
             for wish in waiting:
                 rows.append(
@@ -135,7 +137,9 @@
     return rows
 
 
-def row(engine: str, service: str, state: str, order: records.Order) -> tuple:
+def order_row(
+    engine: str, service: str, state: str, order: records.Order
+) -> tuple:
     """Makes the row of one order."""
     return (
         engine,
