--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -47,7 +47,7 @@
             record = records.Seizure(
                 command.service, command.incarnation, author, change_id
             )
-            said = f"{command.incarnation} is taken to be gone"
+            answer = f"{command.incarnation} is taken to be gone"
         else:
             record = records.OrderDesired(
                 self.service(command.endpoint),
@@ -57,10 +57,10 @@
                 command.verb,
                 command.argument,
             )
-            said = f"accepted as {change_id}; see: show orders"
+            answer = f"accepted as {change_id}; see: show orders"
         if not await self.control.journal.write(record):
             raise exceptions.AppendUndetermined("the log did not answer")
-        return said
+        return answer
 
     def service(self, endpoint: str) -> str:
         """Finds the service of a declared engine.
