--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -92,7 +92,7 @@
         lease = book.lease
         if lease.holder is None:
             continue
-        doubted = [holder.incarnation for holder in lease.predecessors]
+        predecessors = [holder.incarnation for holder in lease.predecessors]
         rows.append(
             (
                 service,
@@ -101,7 +101,7 @@
                 lease.holder.token,
                 lease.released,
                 round(clocks.now() - lease.received_at, 3),
-                " ".join(doubted),
+                " ".join(predecessors),
             )
         )
     return rows
