--- a/packages/gypsumfold/src/gypsumfold/control/desired_orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/desired_orders.py
@@ -40,7 +40,7 @@
 
 
 def choose(
-    wishes: list[records.DesiredOrder],
+    desired: list[records.DesiredOrder],
     pin: records.Pin | None,
     declared: objects.Endpoint,
     planned: str | None,
@@ -59,8 +59,8 @@
     Returns:
         The order; None where the engine does what is wanted.
     """
-    if wishes:
-        wish = wishes[0]
+    if desired:
+        wish = desired[0]
         return NextOrder(wish.verb, wish.subject, wish.offset, wish.operator)
     role, origin = declared.role, "declaration"
     if planned is not None:
