--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -238,7 +238,7 @@
     for number in range(keys):
         time = START + number * seconds / keys
         claim_at(context, time, key_made_at(time, number))
-        context.most = max(context.most, len(context.claims.slots))
+        context.most = max(context.most, len(context.claims.key_states))
 
 
 @behave.then("at the most {most:d} keys are in memory")
--- a/features/support/control_model.py
+++ b/features/support/control_model.py
@@ -51,7 +51,7 @@
             node.identity.node,
             node.address,
             node.tenure.next_sequence(node.now),
-            lease.last,
+            lease.last_offset,
             token,
             node.book.snapshot(),
         )
--- a/features/support/permission_model.py
+++ b/features/support/permission_model.py
@@ -98,7 +98,7 @@
         node, peer = self.nodes[at], self.nodes[other]
         if at == other or not self.reaches(at, other):
             return
-        closed = dict(peer.permissions.closed())
+        closed = dict(peer.permissions.closed_engines())
         node.asks.append((other, node.now, peer.books.through, closed))
 
     def peer_answers(self, at):
--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -170,7 +170,8 @@
     """
     if id_time(change_id) > now + MAX_ID_AHEAD_SECONDS:
         raise exceptions.ChangeRejected(
-            f"the change id is more than {MAX_ID_AHEAD_SECONDS:.0f} s ahead of the log"
+            f"the change id is more than {MAX_ID_AHEAD_SECONDS:.0f} s ahead "
+            "of the log"
         )
 
 
@@ -288,9 +289,9 @@
         for field, asked in fields.items():
             if field in values and values[field] != asked:
                 held = language.print_value(values[field])
-                wish = language.print_value(asked)
+                wanted = language.print_value(asked)
                 lines.append(
                     f'{kind} "{name}".{field}: {held} in force ({by}), '
-                    f"{wish} asked"
+                    f"{wanted} asked"
                 )
     return tuple(lines)
--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -129,7 +129,7 @@
     """What the log says of one key.
 
     Attributes:
-        place: The account and the key.
+        account_key: The account and the key.
         time: By the log's clock, when its first record was taken.
         digest: Of the first valid claim; fixes the body for good.
         claims: Ids of valid claims that are not released, in log order.
@@ -140,17 +140,17 @@
 
     # One stands for each key of the log's whole window.
     __slots__ = (
+        "account_key",
         "claims",
         "closed",
         "digest",
         "outcome",
-        "account_key",
         "released",
         "time",
     )
 
-    def __init__(self, place: tuple[str, str], time: float):
-        self.account_key = place
+    def __init__(self, account_key: tuple[str, str], time: float):
+        self.account_key = account_key
         self.time = time
         self.digest = ""
         self.claims: list[str] = []
@@ -234,13 +234,13 @@
 
     def apply_record(self, record: Record, time: float) -> None:
         """Takes one record that the log took at a time by its clock."""
-        place = (record.account, record.key)
+        account_key = (record.account, record.key)
         valid = self.age(record.key, time) == Age.VALID
-        if place not in self.key_states:
+        if account_key not in self.key_states:
             if not valid or isinstance(record, Outcome):
                 return
-            self.key_states[place] = KeyState(place, time)
-        slot = self.key_states[place]
+            self.key_states[account_key] = KeyState(account_key, time)
+        slot = self.key_states[account_key]
         if isinstance(record, Claim) and valid:
             slot.add_claim(record)
         elif isinstance(record, Release):
@@ -261,10 +261,10 @@
     def prune(self) -> None:
         """Forgets keys of which the log keeps no claim."""
         while self.key_states:
-            place = next(iter(self.key_states))
-            if self.key_states[place].time > self.time - self.retention:
+            account_key = next(iter(self.key_states))
+            if self.key_states[account_key].time > self.time - self.retention:
                 break
-            del self.key_states[place]
+            del self.key_states[account_key]
 
     def age(self, key: str, now: float) -> Age:
         """Judges a key's own time.
--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -88,8 +88,8 @@
 def lease_rows(control: control_module.Control) -> list[tuple]:
     """Lists the leases; ``heard`` is seconds since the last renewal."""
     rows = []
-    for service, book in sorted(control.control_state.services.items()):
-        lease = book.lease
+    for service, state in sorted(control.control_state.services.items()):
+        lease = state.lease
         if lease.holder is None:
             continue
         predecessors = [holder.incarnation for holder in lease.predecessors]
@@ -110,8 +110,8 @@
 def order_rows(control: control_module.Control) -> list[tuple]:
     """Lists what is wished, outstanding, closed and finished."""
     rows = []
-    for service, book in sorted(control.control_state.services.items()):
-        found = book.orders
+    for service, state in sorted(control.control_state.services.items()):
+        found = state.orders
         for each in found.finished:
             rows.append(
                 order_row(each.engine, service, each.result, each.order)
@@ -119,17 +119,17 @@
         for engine, order in found.outstanding.items():
             rows.append(order_row(engine, service, "outstanding", order))
         for engine, waiting in found.desired.items():
-            for wish in waiting:
+            for desired in waiting:
                 rows.append(
                     (
                         engine,
                         service,
                         "wished",
-                        wish.verb,
-                        wish.subject,
-                        wish.offset,
-                        wish.change_id,
-                        wish.operator,
+                        desired.verb,
+                        desired.subject,
+                        desired.offset,
+                        desired.change_id,
+                        desired.operator,
                     )
                 )
         for engine, offset in found.closed.items():
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -80,8 +80,8 @@
     def gap(self, wanted: int, first: int) -> None:
         """Begins anew: the log has dropped what was to be read next."""
         self.control_state.gap(wanted, first)
-        for held in self.services.values():
-            held.lease_manager.tenure.end()
+        for service in self.services.values():
+            service.lease_manager.tenure.end()
 
     def at_end(self, asked: float) -> None:
         """Confirms all permissions: every closing was read."""
@@ -89,12 +89,12 @@
         self.permissions.confirmed = asked
 
     def receive(
-        self, noted: control_state_module.LoggedRecord, valid: bool
+        self, logged: control_state_module.LoggedRecord, valid: bool
     ) -> None:
         """Passes a record on to its service."""
-        held = self.services.get(noted.record.service)
-        if held is not None:
-            held.lease_manager.receive(noted, valid)
+        service = self.services.get(logged.record.service)
+        if service is not None:
+            service.lease_manager.receive(logged, valid)
 
     def reconfigure(self) -> None:
         """Follows a change of configuration."""
@@ -112,30 +112,30 @@
 
     def start_service(self, service: str) -> ServiceControl:
         """Starts to seek the lease of a service."""
-        leasing = lease_manager_module.LeaseManager(
+        lease_manager = lease_manager_module.LeaseManager(
             service,
             self.settings.control,
             self.identity,
             self.control_state,
             self.journal,
         )
-        leasing.find_evidence = self.evidence.find
-        changes = order_executor.OrderExecutor(
+        lease_manager.find_evidence = self.evidence.find
+        executor = order_executor.OrderExecutor(
             self.settings,
-            leasing,
+            lease_manager,
             self.closer,
             self.sender,
             lambda: self.engines(service),
             self.node.new_id,
         )
         plan = role_planning.RolePlanning(
-            service, self.node.fleet, self.node.dispatchers, leasing
+            service, self.node.fleet, self.node.dispatchers, lease_manager
         )
-        changes.planned_role = plan.planned_role
-        self.node.supervise(f"lease-{service}", leasing.run)
-        self.node.supervise(f"changes-{service}", changes.run)
+        executor.planned_role = plan.planned_role
+        self.node.supervise(f"lease-{service}", lease_manager.run)
+        self.node.supervise(f"changes-{service}", executor.run)
         self.node.supervise(f"planning-{service}", plan.run)
-        return ServiceControl(leasing, changes)
+        return ServiceControl(lease_manager, executor)
 
     def engines(self, service: str) -> list[order_executor.Engine]:
         """Lists the engines of a service that were heard of."""
@@ -154,8 +154,8 @@
     async def release(self) -> None:
         """Gives all leases up, at the end of a graceful shutdown."""
         limit = clocks.now() + STOP_LIMIT
-        for held in self.services.values():
-            held.lease_manager.stopping = True
+        for service in self.services.values():
+            service.lease_manager.stopping = True
         sends = [t for h in self.services.values() for t in h.executor.tasks]
         if sends:
             await asyncio.wait(sends, timeout=limit - clocks.now())
--- a/packages/gypsumfold/src/gypsumfold/control/control_state.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control_state.py
@@ -32,8 +32,8 @@
         begun: Whether the state is known; not before an anchor was found
             where the log has dropped the stream's beginning.
 
-    >>> book = Book("dispatch-lm", retention=86400.0, first=0, begun=True)
-    >>> book.apply(noted, now=1.0)
+    >>> state = Book("dispatch-lm", retention=86400.0, first=0, begun=True)
+    >>> state.apply(logged, now=1.0)
     """
 
     def __init__(self, service: str, retention: float, first: int, begun: bool):
@@ -46,12 +46,12 @@
         self.orders = orders.Orders()
         self.through = first - 1
 
-    def apply(self, noted: LoggedRecord, now: float) -> bool:
+    def apply(self, logged: LoggedRecord, now: float) -> bool:
         """Takes one record in and returns whether it counts."""
         if self.is_known:
-            return self.apply_known(noted, now)
-        self.pending.append(noted)
-        self.find_anchor(noted, now)
+            return self.apply_known(logged, now)
+        self.pending.append(logged)
+        self.find_anchor(logged, now)
         return False
 
     def advance(self, offset: int, time: float) -> None:
@@ -69,12 +69,12 @@
             self.pending.pop(0)
         self.is_known = True
 
-    def find_anchor(self, noted: LoggedRecord, now: float) -> None:
+    def find_anchor(self, logged: LoggedRecord, now: float) -> None:
         """Begins at a lease record that this one proves to be valid."""
-        if not isinstance(noted.record, records.LeaseChanged):
+        if not isinstance(logged.record, records.LeaseChanged):
             return
         for candidate in self.pending[:-1]:
-            if candidate.offset != noted.record.previous:
+            if candidate.offset != logged.record.previous:
                 continue
             if not isinstance(candidate.record, records.LeaseChanged):
                 return
@@ -89,18 +89,18 @@
         self.is_known = True
         self.lease.load(state, now)
         self.orders.load(state)
-        for noted in self.pending:
-            if noted.offset > state.through:
-                self.apply_known(noted, now)
+        for logged in self.pending:
+            if logged.offset > state.through:
+                self.apply_known(logged, now)
         self.pending = []
 
-    def apply_known(self, noted: LoggedRecord, now: float) -> bool:
+    def apply_known(self, logged: LoggedRecord, now: float) -> bool:
         """Applies one record to a state that is known."""
-        record = noted.record
+        record = logged.record
         match record:
             case records.LeaseChanged():
-                self.restart_chain(record, noted.time, now)
-                return self.lease.apply(record, noted.offset, noted.time, now)
+                self.restart_chain(record, logged.time, now)
+                return self.lease.apply(record, logged.offset, logged.time, now)
             case records.HolderEnded():
                 self.lease.end(record.incarnation, now)
             case records.HolderCleared():
@@ -109,18 +109,18 @@
                 self.lease.clear(record.cleared)
             case records.Seizure():
                 self.lease.seize(
-                    record.incarnation, noted.offset, noted.time, now
+                    record.incarnation, logged.offset, logged.time, now
                 )
             case records.OrderIntended():
-                return self.orders.intend(record, noted.offset, self.lease)
+                return self.orders.intend(record, logged.offset, self.lease)
             case records.OrderFinished():
                 return self.orders.finish(record)
             case records.EngineClosed():
-                return self.orders.close(record, noted.offset, self.lease)
+                return self.orders.close(record, logged.offset, self.lease)
             case records.EngineOpened():
                 return self.orders.open(record, self.lease)
             case records.OrderDesired():
-                return self.orders.add_desired(record, noted.offset)
+                return self.orders.add_desired(record, logged.offset)
             case records.DesiredOrderMet():
                 return self.orders.mark_met(record, self.lease)
         return True
@@ -145,18 +145,18 @@
         if self.is_known:
             return self.orders.closed
         found = {}
-        for noted in self.pending:
-            if isinstance(noted.record, records.LeaseChanged):
-                found.update(noted.record.state.closed)
-            if isinstance(noted.record, records.EngineClosed):
-                found[noted.record.engine] = noted.offset
+        for logged in self.pending:
+            if isinstance(logged.record, records.LeaseChanged):
+                found.update(logged.record.state.closed)
+            if isinstance(logged.record, records.EngineClosed):
+                found[logged.record.engine] = logged.offset
         return found
 
     def snapshot(self) -> records.Snapshot:
         """The state as it goes into this node's lease records."""
-        wishes = {}
+        desired = {}
         for engine, found in self.orders.desired.items():
-            wishes[engine] = tuple(found)
+            desired[engine] = tuple(found)
         return records.Snapshot(
             self.through,
             self.lease.last_offset,
@@ -166,7 +166,7 @@
             tuple(self.lease.predecessors),
             dict(self.orders.outstanding),
             dict(self.orders.closed),
-            wishes,
+            desired,
             dict(self.orders.pins),
         )
 
@@ -175,14 +175,14 @@
     """The books of all services, fed by the tail of the stream.
 
     Attributes:
-        services: The book of each service that has one.
+        services: The state of each service that has one.
         through: All offsets up to this one were read.
         begun: Whether a service without records is known to have none.
         listeners: Called with each record and whether it counts.
 
     >>> books = Books(settings.platform.retention, loop.time)
     >>> tail.subscribe(books.apply, books.gap)
-    >>> books.book("dispatch-lm").lease.holder
+    >>> books.state("dispatch-lm").lease.holder
     """
 
     def __init__(self, retention: float, clock: Callable[[], float]):
@@ -195,7 +195,7 @@
         self.listeners: list[Callable[[LoggedRecord, bool], None]] = []
 
     def service_state(self, service: str) -> ServiceState:
-        """Gives a service's book, a new one where there is none."""
+        """Gives a service's state, a new one where there is none."""
         if service not in self.services:
             self.services[service] = ServiceState(
                 service, self.retention, self.first, self.is_known
@@ -210,12 +210,12 @@
         for record in entry.records:
             if not isinstance(record, records.KINDS):
                 continue
-            noted = LoggedRecord(entry.offset, entry.time, record)
-            valid = self.service_state(record.service).apply(noted, now)
+            logged = LoggedRecord(entry.offset, entry.time, record)
+            valid = self.service_state(record.service).apply(logged, now)
             for listener in self.listeners:
-                listener(noted, valid)
-        for book in self.services.values():
-            book.advance(entry.offset, entry.time)
+                listener(logged, valid)
+        for state in self.services.values():
+            state.advance(entry.offset, entry.time)
 
     def gap(self, wanted: int, first: int) -> None:
         """Forgets everything: records between these offsets are lost."""
@@ -231,6 +231,6 @@
         record for the retention, so what it dropped has lapsed since.
         """
         self.is_known = True
-        for book in self.services.values():
-            if not book.pending:
-                book.is_known = True
+        for state in self.services.values():
+            if not state.pending:
+                state.is_known = True
--- a/packages/gypsumfold/src/gypsumfold/control/desired_orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/desired_orders.py
@@ -60,8 +60,10 @@
         The order; None where the engine does what is wanted.
     """
     if desired:
-        wish = desired[0]
-        return NextOrder(wish.verb, wish.subject, wish.offset, wish.operator)
+        first = desired[0]
+        return NextOrder(
+            first.verb, first.subject, first.offset, first.operator
+        )
     role, origin = declared.role, "declaration"
     if planned is not None:
         role, origin = planned, "planner"
--- a/packages/gypsumfold/src/gypsumfold/control/evidence.py
+++ b/packages/gypsumfold/src/gypsumfold/control/evidence.py
@@ -46,11 +46,11 @@
             same = address == holder.address
             if same and is_newer_incarnation(incarnation, holder):
                 return f"{incarnation} answers at {address}"
-        place = (holder.node, holder.address)
-        if place not in self.listed_vms:
+        vm_key = (holder.node, holder.address)
+        if vm_key not in self.listed_vms:
             return ""
         for vm in self.membership.latest.vms:
-            if (vm.name, vm.address) == place:
+            if (vm.name, vm.address) == vm_key:
                 return ""
         return f"{holder.node} left the list of VMs"
 
--- a/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
+++ b/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
@@ -72,10 +72,10 @@
         return holds and self.tenure.is_valid(clocks.now())
 
     def receive(
-        self, noted: control_state_module.LoggedRecord, valid: bool
+        self, logged: control_state_module.LoggedRecord, valid: bool
     ) -> None:
         """Takes one of the service's records in, after its book did."""
-        record = noted.record
+        record = logged.record
         if not valid or not isinstance(record, records.LeaseChanged):
             return
         before = self.tenure.token
--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -145,10 +145,10 @@
         if holder is not None and holder.incarnation == incarnation:
             self.holder = holder._replace(ended=True)
             self.ended_at.setdefault(holder.token, now)
-        for place, holder in enumerate(self.predecessors):
+        for index, holder in enumerate(self.predecessors):
             if holder.ended or holder.incarnation != incarnation:
                 continue
-            self.predecessors[place] = holder._replace(ended=True)
+            self.predecessors[index] = holder._replace(ended=True)
             self.ended_at[holder.token] = now
 
     def seize(
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -162,11 +162,14 @@
         """Takes in that nothing is to be done for a wish."""
         if not self.is_current_token(record.token, lease):
             return False
-        for wish in self.desired.get(record.engine, []):
-            if wish.offset != record.desired_offset or wish.verb != "role":
+        for desired in self.desired.get(record.engine, []):
+            if (
+                desired.offset != record.desired_offset
+                or desired.verb != "role"
+            ):
                 continue
             self.pins[record.engine] = records.Pin(
-                wish.subject, record.declared
+                desired.subject, record.declared
             )
         self.drop_desired(record.engine, record.desired_offset)
         return True
@@ -201,12 +204,12 @@
         Of two wishes with the same verb for one engine the later on the log
         takes the place of the earlier.
         """
-        wishes = self.desired.setdefault(record.engine, [])
-        for wish in wishes:
-            if wish.change_id == record.change_id:
+        queue = self.desired.setdefault(record.engine, [])
+        for desired in queue:
+            if desired.change_id == record.change_id:
                 return False
-        wishes[:] = [wish for wish in wishes if wish.verb != record.verb]
-        wishes.append(
+        queue[:] = [desired for desired in queue if desired.verb != record.verb]
+        queue.append(
             records.DesiredOrder(
                 offset,
                 record.change_id,
@@ -220,9 +223,9 @@
     def drop_desired(self, engine: str, offset: int) -> None:
         """Forgets a wish."""
         kept = []
-        for wish in self.desired.get(engine, []):
-            if wish.offset != offset:
-                kept.append(wish)
+        for desired in self.desired.get(engine, []):
+            if desired.offset != offset:
+                kept.append(desired)
         self.desired.pop(engine, None)
         if kept:
             self.desired[engine] = kept
@@ -232,8 +235,8 @@
         self.outstanding = dict(state.orders)
         self.closed = dict(state.closed)
         self.desired = {}
-        for engine, wishes in state.desired.items():
-            self.desired[engine] = list(wishes)
+        for engine, queue in state.desired.items():
+            self.desired[engine] = list(queue)
         self.pins = dict(state.pins)
 
 
--- a/packages/gypsumfold/src/gypsumfold/control/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/role_planning.py
@@ -120,14 +120,14 @@
         for replica in self.fleet.replicas(self.service):
             if replica.report is None:
                 continue
-            wished = self.choices.get(replica.name, replica.role)
+            desired = self.choices.get(replica.name, replica.role)
             found.append(
                 roles.Engine(
                     replica.name,
                     replica.role,
                     replica.report.taken,
                     replica.report.running,
-                    replica.open and wished == replica.role,
+                    replica.open and desired == replica.role,
                 )
             )
         return found
