--- a/packages/gypsumfold/src/gypsumfold/control/control_state.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control_state.py
@@ -1,8 +1,8 @@
-"""What the stream ``control`` says, service by service.
+"""The state of each service, derived from the log stream ``control``.
 
-`Books` follows the stream's tail. A node that starts after the log dropped
-the stream's beginning takes a service's state from a lease record that a
-later one names as valid, and goes on from there.
+`ControlState` follows the stream's tail. A node that starts after the log
+dropped the stream's beginning takes a service's state from the snapshot in a
+lease record that a later record names as valid, and continues from there.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 
 
 class LoggedRecord(NamedTuple):
-    """A record with its place on the log."""
+    """A record with its offset and time on the log."""
 
     offset: int
     time: float
@@ -29,10 +29,12 @@
         lease: See `leases.Lease`.
         orders: See `orders.Orders`.
         through: All offsets up to this one were read.
-        begun: Whether the state is known; not before an anchor was found
-            where the log has dropped the stream's beginning.
+        is_known: Whether the state is known. If the log has dropped the
+            stream's beginning, only once a valid snapshot was found.
 
-    >>> state = Book("dispatch-lm", retention=86400.0, first=0, begun=True)
+    >>> state = ServiceState(
+    ...     "dispatch-lm", retention=86400.0, first=0, is_known=True
+    ... )
     >>> state.apply(logged, now=1.0)
     """
 
@@ -47,7 +49,7 @@
         self.through = first - 1
 
     def apply(self, logged: LoggedRecord, now: float) -> bool:
-        """Takes one record in and returns whether it counts."""
+        """Applies one record and returns whether it is valid."""
         if self.is_known:
             return self.apply_known(logged, now)
         self.pending.append(logged)
@@ -55,10 +57,10 @@
         return False
 
     def advance(self, offset: int, time: float) -> None:
-        """Notes that an entry was read, whatever it was about.
+        """Records that an entry was read, whichever service it concerns.
 
-        Candidates that grew older than the retention no longer matter: a
-        chain that old may be begun anew (`leases.Lease.follows`).
+        Pending records older than the retention are dropped: a chain that
+        old may be restarted (`leases.Lease.is_next`).
         """
         self.through = offset
         if self.is_known or not self.pending:
@@ -70,7 +72,7 @@
         self.is_known = True
 
     def find_anchor(self, logged: LoggedRecord, now: float) -> None:
-        """Begins at a lease record that this one proves to be valid."""
+        """Starts from a lease record that this one proves to be valid."""
         if not isinstance(logged.record, records.LeaseChanged):
             return
         for candidate in self.pending[:-1]:
@@ -85,7 +87,7 @@
             return
 
     def start_from(self, state: records.Snapshot, now: float) -> None:
-        """Loads a snapshot and applies what came after it."""
+        """Loads a snapshot and applies the records after it."""
         self.is_known = True
         self.lease.load(state, now)
         self.orders.load(state)
@@ -95,7 +97,7 @@
         self.pending = []
 
     def apply_known(self, logged: LoggedRecord, now: float) -> bool:
-        """Applies one record to a state that is known."""
+        """Applies one record to a known state; returns whether it is valid."""
         record = logged.record
         match record:
             case records.LeaseChanged():
@@ -128,10 +130,11 @@
     def restart_chain(
         self, record: records.LeaseChanged, time: float, now: float
     ) -> None:
-        """Drops what only nodes that run for longer than the log keeps know.
+        """Replaces the state when a claim starts a new chain.
 
-        A claim may begin a new chain once the old one is older than the
-        retention. All nodes then go on from what its writer knew.
+        A claim may do so once the old chain is older than the retention.
+        All nodes then continue from its writer's snapshot, since newer
+        nodes can't know what the log no longer keeps.
         """
         begins = record.action == records.CLAIM and record.previous == -1
         if not begins or self.lease.last_offset == -1:
@@ -141,7 +144,7 @@
             self.orders.load(record.state)
 
     def closed_engines(self) -> dict[str, int]:
-        """Lists the closed engines, as far as they are known by now."""
+        """Returns the closed engines known so far, with their offsets."""
         if self.is_known:
             return self.orders.closed
         found = {}
@@ -153,7 +156,7 @@
         return found
 
     def snapshot(self) -> records.Snapshot:
-        """The state as it goes into this node's lease records."""
+        """Returns the state to include in this node's lease records."""
         desired = {}
         for engine, found in self.orders.desired.items():
             desired[engine] = tuple(found)
@@ -172,17 +175,17 @@
 
 
 class ControlState:
-    """The books of all services, fed by the tail of the stream.
+    """The state of all services, updated from the tail of the stream.
 
     Attributes:
-        services: The state of each service that has one.
+        services: State by service name.
         through: All offsets up to this one were read.
-        begun: Whether a service without records is known to have none.
-        listeners: Called with each record and whether it counts.
+        is_known: Whether a service without records is known to have none.
+        listeners: Called with each record and whether it is valid.
 
-    >>> books = Books(settings.platform.retention, loop.time)
-    >>> tail.subscribe(books.apply, books.gap)
-    >>> books.state("dispatch-lm").lease.holder
+    >>> state = ControlState(settings.platform.retention, loop.time)
+    >>> tail.subscribe(state.apply, state.gap)
+    >>> state.service_state("dispatch-lm").lease.holder
     """
 
     def __init__(self, retention: float, clock: Callable[[], float]):
@@ -195,7 +198,7 @@
         self.listeners: list[Callable[[LoggedRecord, bool], None]] = []
 
     def service_state(self, service: str) -> ServiceState:
-        """Gives a service's state, a new one where there is none."""
+        """Returns the state of a service, created if there is none."""
         if service not in self.services:
             self.services[service] = ServiceState(
                 service, self.retention, self.first, self.is_known
@@ -204,7 +207,7 @@
         return self.services[service]
 
     def apply(self, entry: platform_records.Entry) -> None:
-        """Takes one entry in; a subscriber of `logs.Tail`."""
+        """Applies one entry; a subscriber of `logs.Tail`."""
         now = self.clock()
         self.through = entry.offset
         for record in entry.records:
@@ -218,17 +221,17 @@
             state.advance(entry.offset, entry.time)
 
     def gap(self, wanted: int, first: int) -> None:
-        """Forgets everything: records between these offsets are lost."""
+        """Discards all state: records between these offsets are lost."""
         self.first = first
         self.through = first - 1
         self.is_known = False
         self.services = {}
 
     def caught_up(self) -> None:
-        """Is called once the end of the stream was reached.
+        """Called once the end of the stream was reached.
 
         A service without a record so far has no lease: the log keeps each
-        record for the retention, so what it dropped has lapsed since.
+        record for the retention, so any lease that it dropped has expired.
         """
         self.is_known = True
         for state in self.services.values():
--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -1,7 +1,7 @@
-"""Carries out what operators and the planner want of a service's engines.
+"""Carries out the changes that operators and the planner want of engines.
 
-Each step looks at the books and does the one next thing, so that it does
-not matter which step a crash, a lost answer or a takeover came after.
+Each step reads the state on the log and takes the next action, so the
+change continues after a crash, a lost answer or a takeover at any step.
 """
 
 import asyncio
@@ -20,20 +20,20 @@
 from gypsumfold.control import records
 from gypsumfold.control import sending
 
-# Seconds between two looks at the engines.
+# Seconds between two checks of the engines.
 CHECK_INTERVAL = 0.1
-# Seconds until an order's answer is given up and the engine's state read
+# Seconds to wait for an order's answer before the engine's state is read
 # instead; a role change takes seconds.
 ANSWER_TIMEOUT = 10.0
 # Seconds between an engine's first order and the next while none succeeds,
-# doubled each time up to the most: a failing engine is not to fill the log,
+# doubled each time up to the maximum. A failing engine must not fill the log,
 # which takes several hundred appends a second from all services together.
 FIRST_RETRY_SECONDS = 0.5
 MAX_RETRY_SECONDS = 60.0
 
 
 class Engine(NamedTuple):
-    """An engine that this service declares."""
+    """A declared engine of the service and its last reported role."""
 
     name: str
     declared: objects.Endpoint
@@ -41,16 +41,19 @@
 
 
 class OrderExecutor:
-    """The changes of one service's engines, while this node is the holder.
+    """Changes one service's engines while this node holds the lease.
 
     Attributes:
-        sends: Orders sent by this process: when their sending was given up,
-            infinite while it goes on, minus infinite if nothing was sent.
+        send_ended_at: By order id, when this process stopped sending it:
+            infinity while it is being sent, minus infinity if nothing was
+            sent or the answer is known.
         blocked: Engines whose order only time or an operator can resolve.
-        planned: Gives the role planner's choice for an engine.
+        planned_role: Returns the role planner's choice for an engine.
 
-    >>> changes = Changes(settings, leasing, closer, sender, engines, new_id)
-    >>> await changes.run()
+    >>> executor = OrderExecutor(
+    ...     settings, lease_manager, closer, sender, engines, new_id
+    ... )
+    >>> await executor.run()
     """
 
     def __init__(
@@ -78,16 +81,16 @@
 
     @property
     def logged_orders(self) -> orders.Orders:
-        """What the log says of the service's orders."""
+        """The service's orders, as read from the log."""
         return self.lease_manager.service_state.orders
 
     def is_settled(self) -> bool:
-        """Whether nothing that this process sent can be on its way."""
+        """Whether no order from this process can still be in transit."""
         limit = clocks.now() - self.settings.control.quarantine
         return all(given_up < limit for given_up in self.send_ended_at.values())
 
     def can_order(self, engine: Engine) -> bool:
-        """Whether this node may give the engine orders at this instant."""
+        """Whether this node may send the engine orders now."""
         if not self.lease_manager.is_valid() or self.lease_manager.stopping:
             return False
         return (
@@ -98,7 +101,7 @@
         )
 
     async def run(self) -> None:
-        """Goes on for as long as the service is declared."""
+        """Runs as long as the service is declared."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
             self.prune()
@@ -111,11 +114,11 @@
                 try:
                     await self.step(engine)
                 except exceptions.EndpointError:
-                    # It does not answer; its next report comes in its time.
+                    # The engine does not answer; retried on the next check.
                     continue
 
     def prune(self) -> None:
-        """Forgets sent orders that are resolved and cannot be on their way."""
+        """Drops sent orders that are resolved and no longer in transit."""
         open_ids = {
             order.id for order in self.logged_orders.outstanding.values()
         }
@@ -125,7 +128,7 @@
                 del self.send_ended_at[order_id]
 
     async def step(self, engine: Engine) -> None:
-        """Does the next thing for one engine."""
+        """Takes the next action for one engine."""
         order = self.logged_orders.outstanding.get(engine.name)
         if order is not None:
             await self.handle_outstanding(engine, order)
@@ -148,7 +151,7 @@
             await self.record_intent(engine, wanted, state, "")
 
     def has_work(self, engine: Engine, role: str) -> bool:
-        """Whether there seems to be something to do, by the last report."""
+        """Whether an order seems to be needed, by the last reported role."""
         if self.logged_orders.desired.get(engine.name):
             return True
         state = orders.EngineState(
@@ -169,22 +172,22 @@
         )
 
     def is_due(self, engine: Engine) -> bool:
-        """Whether enough time has passed since a try that failed."""
+        """Whether the retry delay since the last attempt has passed."""
         return clocks.now() >= self.next_attempt_at.get(
             engine.name, float("-inf")
         )
 
     def count_attempt(self, engine: Engine) -> None:
-        """Counts one try and works out when the next is due."""
+        """Counts one attempt and sets when the next is due."""
         tries = self.attempts.get(engine.name, 0)
         wait = min(FIRST_RETRY_SECONDS * 2**tries, MAX_RETRY_SECONDS)
         self.attempts[engine.name] = tries + 1
         self.next_attempt_at[engine.name] = clocks.now() + wait
 
     def can_take_out(self, engine: Engine) -> bool:
-        """Whether this engine may be taken away besides the others.
+        """Whether one more engine may be changed at the same time.
 
-        This rations the weight store, too: each load is a change.
+        This also limits load on the weight store: each load is a change.
         """
         taken = {*self.logged_orders.closed, *self.logged_orders.outstanding}
         taken -= {engine.name, *self.blocked}
@@ -193,7 +196,7 @@
     async def record_met(
         self, engine: Engine, wanted: desired_orders.NextOrder
     ) -> None:
-        """Notes that a wish is fulfilled already."""
+        """Records that a desired order is already met."""
         await self.lease_manager.journal.write(
             records.DesiredOrderMet(
                 self.lease_manager.service,
@@ -218,7 +221,10 @@
         )
 
     async def close_until_idle(self, engine: Engine, verb: str) -> bool:
-        """Closes an engine; whether nothing runs and nothing can come."""
+        """Closes an engine; returns whether it runs nothing and will not.
+
+        Loading a model needs no idle engine.
+        """
         if verb == "load":
             return True
         offset = self.logged_orders.closed.get(engine.name)
@@ -244,7 +250,7 @@
         state: orders.EngineState,
         supersedes: str,
     ) -> None:
-        """Writes an order down; it is sent once it was read back."""
+        """Logs the intent of an order; it is sent once it was read back."""
         self.count_attempt(engine)
         await self.lease_manager.journal.write(
             records.OrderIntended(
@@ -265,7 +271,7 @@
     async def handle_outstanding(
         self, engine: Engine, order: records.Order
     ) -> None:
-        """Sends an outstanding order, or finds out what became of it."""
+        """Sends an outstanding order, or resolves one sent earlier."""
         mine = order.author == self.lease_manager.identity.incarnation
         if mine and order.id not in self.send_ended_at:
             self.send_ended_at[order.id] = float("inf")
@@ -297,7 +303,7 @@
     async def supersede(
         self, engine: Engine, order: records.Order, state: orders.EngineState
     ) -> None:
-        """Gives an order anew, with a token that shuts the first one out."""
+        """Replaces an order by one whose token makes the engine refuse it."""
         if not self.can_order(engine) or not self.is_due(engine):
             return
         if await self.close_until_idle(engine, order.verb):
@@ -307,7 +313,7 @@
             await self.record_intent(engine, wanted, state, order.id)
 
     async def send(self, engine: Engine, order: records.Order) -> None:
-        """Sends an order once and notes what is known of it."""
+        """Sends an order once and records its answer."""
 
         def check() -> None:
             if not self.may_send(engine, order):
@@ -333,7 +339,7 @@
             await self.record_result(engine, order, answer.value)
 
     def may_send(self, engine: Engine, order: records.Order) -> bool:
-        """Whether the order's bytes may be written at this instant."""
+        """Whether the order's bytes may be written now."""
         if self.logged_orders.outstanding.get(engine.name) != order:
             return False
         return orders.may_send(
@@ -348,7 +354,7 @@
     async def record_result(
         self, engine: Engine, order: records.Order, result: str
     ) -> None:
-        """Writes an order's result down."""
+        """Logs an order's result."""
         if result == orders.Resolution.DONE:
             self.attempts.pop(engine.name, None)
             self.next_attempt_at.pop(engine.name, None)
