--- a/packages/gypsumfold/src/gypsumfold/control/evidence.py
+++ b/packages/gypsumfold/src/gypsumfold/control/evidence.py
@@ -1,4 +1,4 @@
-"""What shows that an earlier holder's process is gone for good."""
+"""Evidence that an earlier lease holder's process has ended."""
 
 from gypsumfold import membership as membership_module
 from gypsumfold.control import leases
@@ -7,14 +7,14 @@
 
 
 class Evidence:
-    """Looks for proof among peers and on the list of VMs.
+    """Looks for evidence among peers and in the list of VMs.
 
     A newer incarnation that serves peers at a node's address proves that
-    the older one has ended, since two cannot listen there. A VM that was on
-    the platform's list and is no more has gone; one that was never seen on
-    the lagging list proves nothing.
+    the older one has ended, since two can't listen on one address. A VM that
+    was on the platform's list and no longer is has been removed. One that was
+    never seen there proves nothing, because the list lags.
 
-    >>> Evidence(identity, peers, membership).gone(holder)
+    >>> Evidence(identity, peers, membership).find(holder)
     'entry-1-018f... answers at 10.0.0.1'
     """
 
@@ -30,14 +30,14 @@
         self.listed_vms: set[tuple[str, str]] = set()
 
     def update_listed(self) -> None:
-        """Remembers which VMs were on the list."""
+        """Records which VMs are on the list."""
         if self.membership.latest is None:
             return
         for vm in self.membership.latest.vms:
             self.listed_vms.add((vm.name, vm.address))
 
     def find(self, holder: records.Holder) -> str:
-        """Says what shows that a holder is gone; empty if nothing does."""
+        """Returns evidence that a holder has ended; empty if there is none."""
         self.update_listed()
         known = [(self.identity.address, self.identity.incarnation)]
         for peer in self.peers.by_address.values():
@@ -56,7 +56,7 @@
 
 
 def is_newer_incarnation(incarnation: str, holder: records.Holder) -> bool:
-    """Whether an incarnation of the same node started after the holder's.
+    """Whether an incarnation of the holder's node started after the holder.
 
     An incarnation is the node's name and a UUIDv7 (RFC 9562), whose text
     sorts by time.
--- a/packages/gypsumfold/src/gypsumfold/control/journal.py
+++ b/packages/gypsumfold/src/gypsumfold/control/journal.py
@@ -1,4 +1,4 @@
-"""Writes control's records and waits until they are read back."""
+"""Appends control records and waits until they are read back."""
 
 import asyncio
 
@@ -10,10 +10,11 @@
 
 
 class Journal:
-    """The stream ``control`` for writers.
+    """Appends to the stream ``control``.
 
-    What was decided is never read from the answer to an append but from the
-    books, once the tail has passed it; so a lost answer changes nothing.
+    Whether a record is valid is never taken from the answer to an append but
+    from `ControlState`, once the tail has read it. So a lost answer does not
+    matter.
 
     >>> journal = Journal(log, tail, settings.platform)
     >>> await journal.write(record)
--- a/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
+++ b/packages/gypsumfold/src/gypsumfold/control/lease_manager.py
@@ -1,4 +1,4 @@
-"""Claims, renews and gives up the lease of one service."""
+"""Claims, renews and releases the lease of one service."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from gypsumfold.control import leases
 from gypsumfold.control import records
 
-# Seconds between two looks at the lease: a fraction of any renewal.
+# Seconds between two checks of the lease: a fraction of any renewal interval.
 CHECK_INTERVAL = 0.1
 
 
@@ -20,11 +20,13 @@
     """This node's part in the lease of one service.
 
     Attributes:
-        tenure: Until when this node may use the lease.
-        retire: Says whether nothing that this node sent can be on its way.
+        tenure: How long this node may use the lease.
+        is_settled: Returns whether no order from this node can still be in
+            transit.
+        find_evidence: Returns evidence that a holder has ended, or "".
 
-    >>> leasing = Leasing("dispatch", settings, identity, books, journal)
-    >>> leasing.valid()
+    >>> manager = LeaseManager("dispatch", settings, identity, state, journal)
+    >>> manager.is_valid()
     False
     """
 
@@ -49,12 +51,12 @@
 
     @property
     def service_state(self) -> control_state_module.ServiceState:
-        """The book of the service."""
+        """The state of the service."""
         return self.control_state.service_state(self.service)
 
     @property
     def lease(self) -> leases.Lease:
-        """What the log says of the lease."""
+        """The lease, as read from the log."""
         return self.service_state.lease
 
     def is_held(self) -> bool:
@@ -65,7 +67,7 @@
         return self.lease.is_held_by(self.identity.incarnation, holder.token)
 
     def is_valid(self) -> bool:
-        """Whether this node may act as the holder at this instant."""
+        """Whether this node may act as the holder now."""
         holds = self.lease.is_held_by(
             self.identity.incarnation, self.tenure.token
         )
@@ -74,7 +76,7 @@
     def receive(
         self, logged: control_state_module.LoggedRecord, valid: bool
     ) -> None:
-        """Takes one of the service's records in, after its book did."""
+        """Receives a record that the service's state has applied."""
         record = logged.record
         if not valid or not isinstance(record, records.LeaseChanged):
             return
@@ -88,7 +90,7 @@
             )
 
     async def run(self) -> None:
-        """Keeps or seeks the lease for as long as the service is declared."""
+        """Renews or claims the lease as long as the service is declared."""
         while True:
             await asyncio.sleep(CHECK_INTERVAL)
             if not self.journal.tail.caught_up.is_set():
@@ -99,7 +101,7 @@
             await self.report_ended_holders()
 
     async def keep(self) -> None:
-        """Renews what this node holds, or claims what nobody does."""
+        """Renews the lease if this node holds it, or claims a free one."""
         now = clocks.now()
         if self.stopping:
             return
@@ -111,14 +113,14 @@
         await self.release_predecessor()
         if not self.lease.is_claimable(now, self.settings):
             return
-        # Nodes whose wait ends together seldom claim together.
+        # Random delay, so that nodes waiting for one lease rarely collide.
         await asyncio.sleep(random.random() * self.settings.renewal / 4)
         if self.lease.is_claimable(clocks.now(), self.settings):
             self.renewed = clocks.now()
             await self.write(records.CLAIM, -1)
 
     async def release_predecessor(self) -> None:
-        """Releases an earlier tenure of this process that others doubt."""
+        """Releases an earlier tenure of this process that was not released."""
         for holder in self.lease.predecessors:
             if holder.incarnation != self.identity.incarnation:
                 continue
@@ -127,7 +129,7 @@
             return
 
     async def report_ended_holders(self) -> None:
-        """Writes down that an earlier holder is gone, where that shows."""
+        """Logs which earlier holders have ended or are out of quarantine."""
         if not self.is_valid():
             return
         now = clocks.now()
@@ -171,7 +173,7 @@
         )
 
     async def release(self) -> None:
-        """Gives the lease up, if nothing that was sent is on its way."""
+        """Releases the lease, if no order can still be in transit."""
         self.stopping = True
         holder = self.lease.holder
         if not self.is_held() or not self.is_settled():
--- a/packages/gypsumfold/src/gypsumfold/control/leases.py
+++ b/packages/gypsumfold/src/gypsumfold/control/leases.py
@@ -1,10 +1,10 @@
-"""One service's lease, derived from the records on the log alone.
+"""One service's lease, derived only from the records on the log.
 
-The log offers no compare-and-append. A claim or a renewal counts only if it
+The log offers no compare-and-append. A claim or a renewal is valid only if it
 names the offset of the last valid lease record, so of two that race the
-first on the log wins on every node. Nothing here reads a clock; whether a
-lease may be used at an instant is for `Tenure` and `Lease.claimable`, with
-times of one monotonic clock per node.
+first on the log wins on every node. Nothing here reads a clock; `Tenure` and
+`Lease.is_claimable` decide whether a lease may be used or claimed, from times
+of one monotonic clock per node.
 """
 
 from typing import NamedTuple
@@ -14,7 +14,7 @@
 
 
 class Identity(NamedTuple):
-    """The node as it signs its lease records."""
+    """How a node identifies itself in its lease records."""
 
     incarnation: str
     node: str
@@ -22,16 +22,17 @@
 
 
 class Lease:
-    """What the log says about the lease of one service.
+    """The lease of one service, as read from the log.
 
     Attributes:
-        last: Offset of the last valid lease record; -1 for none.
+        last_offset: Offset of the last valid lease record; -1 for none.
         time: The log's time of that record.
-        heard: When this node received it; 0 before the first.
+        received_at: When this node received it; 0 before the first.
         holder: The last tenure; None if there was none.
-        released: Whether it has ended by a release.
+        released: Whether that tenure was released.
         predecessors: Earlier tenures whose holders may still send.
-        ended: When this node learnt that a tenure's incarnation is gone.
+        ended_at: When this node learned that a tenure's incarnation has
+            ended, by token.
 
     >>> lease = Lease(retention=86400.0)
     >>> lease.apply(claim, offset=3, time=1.0, now=0.0)
@@ -57,11 +58,11 @@
         time: float,
         now: float,
     ) -> bool:
-        """Takes a lease record in.
+        """Applies a lease record.
 
         Args:
             record: From the log.
-            offset: Where it stands.
+            offset: Its offset.
             time: The log's time of it.
             now: This node's time.
 
@@ -83,7 +84,7 @@
     def is_next(self, previous: int, time: float) -> bool:
         """Whether a record that names ``previous`` is next in the chain.
 
-        A chain older than the log's retention may be begun anew, since a
+        A chain older than the log's retention may be restarted, since a
         node that started later cannot know of it.
         """
         if previous == self.last_offset:
@@ -91,7 +92,7 @@
         return previous == -1 and time - self.time > self.retention
 
     def grant(self, record: records.LeaseChanged, offset: int) -> None:
-        """Begins a new tenure; one that was not released stays in doubt."""
+        """Starts a new tenure; an unreleased one becomes a predecessor."""
         if self.holder is not None and not self.released:
             self.predecessors.append(self.holder)
         self.holder = records.Holder(
@@ -108,8 +109,8 @@
     ) -> bool:
         """Ends a tenure.
 
-        Its own holder alone writes this, when nothing that it sent is on its
-        way; so a late one counts for its token too.
+        Only its own holder writes this, when nothing that it sent is in
+        transit. So a late release is valid for an earlier tenure, too.
         """
         if self.is_held_by(record.incarnation, record.token):
             self.released = True
@@ -134,13 +135,13 @@
         )
 
     def set_last(self, offset: int, time: float, now: float) -> None:
-        """Remembers the last valid record."""
+        """Records the offset and times of the last valid record."""
         self.last_offset = offset
         self.time = time
         self.received_at = now
 
     def end(self, incarnation: str, now: float) -> None:
-        """Notes that an incarnation is gone, in all its tenures."""
+        """Marks all tenures of an incarnation as ended."""
         holder = self.holder
         if holder is not None and holder.incarnation == incarnation:
             self.holder = holder._replace(ended=True)
@@ -154,7 +155,7 @@
     def seize(
         self, incarnation: str, offset: int, time: float, now: float
     ) -> None:
-        """Ends an incarnation's tenures: an operator vouches for that."""
+        """Ends an incarnation's tenures on an operator's assurance."""
         holder = self.holder
         if holder is not None and self.is_held_by(incarnation, holder.token):
             self.released = True
@@ -176,10 +177,10 @@
     def is_undisputed(
         self, now: float, settings: settings_module.ControlSection
     ) -> bool:
-        """Whether no earlier holder can reach an engine that checks nothing.
+        """Whether no earlier holder can reach an engine without token checks.
 
-        Each was released (or vouched for), or its process is gone for longer
-        than its connections can go on sending (TCP_USER_TIMEOUT, RFC 5482).
+        Each was released or seized, or its process ended longer ago than its
+        connections can keep sending (TCP_USER_TIMEOUT, RFC 5482).
         """
         for holder in self.predecessors:
             if not self.is_harmless(holder, now, settings):
@@ -192,19 +193,19 @@
         now: float,
         settings: settings_module.ControlSection,
     ) -> bool:
-        """Whether an earlier holder is gone and its quarantine over."""
+        """Whether an earlier holder has ended and its quarantine is over."""
         if not holder.ended:
             return False
         return now > self.ended_at[holder.token] + settings.quarantine
 
     def clear(self, token: int) -> None:
-        """Forgets an earlier tenure: its quarantine is over."""
+        """Removes an earlier tenure whose quarantine is over."""
         kept = [h for h in self.predecessors if h.token != token]
         self.predecessors = kept
         self.ended_at.pop(token, None)
 
     def load(self, state: records.Snapshot, now: float) -> None:
-        """Starts from what another node had read."""
+        """Replaces the state by another node's snapshot."""
         self.last_offset = state.last_offset
         self.time = state.time
         self.received_at = now
@@ -218,15 +219,15 @@
 
 
 class Tenure:
-    """Until when this node may use the lease that it holds.
+    """How long this node may use the lease that it holds.
 
-    A lease is valid for its duration from before the record was sent, and
-    only once that record was read back as valid.
+    A lease is valid for its duration, counted from before the record was
+    sent, and only once that record was read back as valid.
 
     >>> tenure = Tenure(identity)
-    >>> sequence = tenure.sending(now=10.0)
+    >>> sequence = tenure.next_sequence(now=10.0)
     >>> tenure.read_back(claim, lease, duration=6.0)
-    >>> tenure.valid(15.9)
+    >>> tenure.is_valid(15.9)
     True
     """
 
@@ -238,7 +239,7 @@
         self.valid_until = float("-inf")
 
     def next_sequence(self, now: float) -> int:
-        """Numbers a claim or renewal that is sent after this instant."""
+        """Returns the sequence number of a lease record about to be sent."""
         self.sequence += 1
         self.sent[self.sequence] = now
         return self.sequence
@@ -246,11 +247,11 @@
     def read_back(
         self, record: records.LeaseChanged, lease: Lease, duration: float
     ) -> None:
-        """Takes a valid lease record in, after `Lease.apply`.
+        """Extends the tenure by a valid lease record, after `Lease.apply`.
 
         Args:
-            record: Of this or another node.
-            lease: As the record left it.
+            record: From this or another node.
+            lease: The lease after the record was applied.
             duration: Seconds that a lease is valid.
         """
         mine = record.incarnation == self.identity.incarnation
@@ -269,11 +270,11 @@
             del self.sent[older]
 
     def end(self) -> None:
-        """Gives the lease up, at once and before the release is appended."""
+        """Ends the tenure at once, before the release is appended."""
         self.token = -1
         self.valid_until = float("-inf")
         self.sent.clear()
 
     def is_valid(self, now: float) -> bool:
-        """Whether orders may go out at this instant."""
+        """Whether orders may be sent now."""
         return self.token != -1 and now < self.valid_until
