--- a/packages/gypsumfold/src/gypsumfold/control/desired_orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/desired_orders.py
@@ -1,11 +1,12 @@
-"""Which order an engine gets next, where several want different things.
+"""Chooses which order an engine gets next.
 
-Operators and the role planner meet here and nowhere else; the lease's holder
-alone asks. The rule: an operator's open wish goes first, the oldest verb
-before the others (a later wish with the same verb has already replaced the
-earlier, `orders.Orders.wish`); then the role that an operator's order set,
-until the declared role changes; then the planner's role, where the
-service's declaration lets it plan; then the declared role.
+This is the only place where operators' orders and the role planner's choices
+are combined, and only the lease holder calls it. An operator's desired order
+goes first, the oldest verb before the others (a later one with the same verb
+has already replaced the earlier, see `orders.Orders.add_desired`). Then comes
+the role that an operator's order set, until the declared role changes; then
+the planner's role, where the service's declaration lets it plan; then the
+declared role.
 """
 
 from typing import NamedTuple
@@ -16,13 +17,13 @@
 
 
 class NextOrder(NamedTuple):
-    """An order to give.
+    """The next order for an engine.
 
     Attributes:
         verb: ``role``, ``load`` or ``unload``.
         subject: The role or the model.
-        wish: Offset of the operator's wish; -1 where it is none.
-        origin: Who wants it, for logs and queries.
+        desired_offset: Offset of the operator's desired order; -1 for none.
+        origin: Who asked for it, for logs and queries.
     """
 
     verb: str
@@ -32,7 +33,7 @@
 
 
 def is_met(wanted: NextOrder, state: orders.EngineState) -> bool:
-    """Whether an engine does already what an order would bring about."""
+    """Whether an engine is already in the state that an order asks for."""
     if wanted.verb == "role":
         return wanted.subject == state.role
     loaded = wanted.subject in state.models
@@ -49,15 +50,15 @@
     """Picks the next order for an engine.
 
     Args:
-        wishes: Operators' open wishes for it, oldest first.
-        pin: The role that an operator's order set before; None for none.
+        desired: Operators' desired orders for it, oldest first.
+        pin: The role that an operator's earlier order set; None for none.
         declared: The engine's declaration.
         planned: The role planner's choice; None where it may not plan or
             has none.
-        state: What the engine does now.
+        state: The engine's current state.
 
     Returns:
-        The order; None where the engine does what is wanted.
+        The order; None where the engine needs none.
     """
     if desired:
         first = desired[0]
--- a/packages/gypsumfold/src/gypsumfold/control/orders.py
+++ b/packages/gypsumfold/src/gypsumfold/control/orders.py
@@ -1,9 +1,9 @@
-"""One service's orders, derived from the records on the log alone.
+"""One service's orders, derived only from the records on the log.
 
-Each engine has one outstanding order at the most; its fencing token is the
-offset of its intent. That is above the lease's own token, and so two orders
-of one holder differ too: an order whose answer was lost cannot overtake the
-next one at an engine that checks.
+Each engine has at most one outstanding order. Its fencing token is the
+offset of its intent, which is above the lease's own token and differs
+between two orders of one holder. So an order whose answer was lost cannot
+overtake the next one at an engine that checks tokens.
 """
 
 import collections
@@ -19,16 +19,16 @@
 
 
 class EngineState(NamedTuple):
-    """What an engine says about itself (``/v1/state``), never with a lag.
+    """An engine's current state (``/v1/state``), which never lags.
 
     Attributes:
         incarnation: New at each start of the engine's process.
-        role: What it does now.
-        models: What it has loaded.
+        role: Its current role.
+        models: The models that it has loaded.
         running: Dispatches in progress.
         changing: Whether an order is being carried out.
-        last_order: Id of the last order that it took; empty for none.
-        last_done: Whether that order has ended.
+        last_order: Id of the last order that it accepted; empty for none.
+        last_done: Whether that order was completed.
         highest_token: The highest fencing token it has seen; -1 for none.
     """
 
@@ -63,18 +63,18 @@
 def resolve(
     order: records.Order, state: EngineState, checks: bool, silent: bool
 ) -> Resolution:
-    """Judges an outstanding order by the state that its engine gave.
+    """Resolves an outstanding order by the state that its engine reported.
 
     Args:
         order: The outstanding order.
-        state: Read after the order's sending was given up.
+        state: Read after the sender stopped waiting for the answer.
         checks: Whether the engine refuses old tokens.
-        silent: Whether nobody can send it any more and nothing of it can
-            be on its way (its author's connection has ended, and the
-            quarantine with it).
+        silent: Whether the order can no longer be sent and none of it can
+            be in transit (its author's connection and the quarantine after
+            it have ended).
 
     Returns:
-        What is known, and so what may follow.
+        The resolution, which says what may follow.
     """
     if state.last_order == order.id:
         if state.last_done:
@@ -92,12 +92,12 @@
 
 
 class Orders:
-    """Closed engines, wishes and orders of one service.
+    """Closed engines, desired orders and outstanding orders of one service.
 
     Attributes:
         outstanding: The order without a known result, by engine.
         closed: Closed engines, with the offset of the closing.
-        wishes: What operators ask for, by engine, oldest first.
+        desired: Operators' open orders, by engine, oldest first.
         pins: Roles set by operators' orders, by engine.
         finished: The last results, for queries.
 
@@ -118,7 +118,7 @@
     def intend(
         self, record: records.OrderIntended, offset: int, lease: leases.Lease
     ) -> bool:
-        """Takes an intent in; valid from the holder, one for each engine."""
+        """Applies an intent; valid from the holder, one for each engine."""
         if not lease.is_held_by(record.author, record.lease):
             return False
         current = self.outstanding.get(record.engine)
@@ -139,7 +139,7 @@
         return True
 
     def finish(self, record: records.OrderFinished) -> bool:
-        """Takes a result in; the wish behind a done order is fulfilled."""
+        """Applies a result; any but ``void`` ends the desired order."""
         order = self.outstanding.get(record.engine)
         if order is None or order.id != record.id:
             return False
@@ -152,14 +152,14 @@
         return True
 
     def pin(self, engine: str, order: records.Order) -> None:
-        """Makes the role of an operator's order stand."""
+        """Keeps the role of an operator's order in force."""
         if order.verb == "role" and order.desired_offset >= 0:
             self.pins[engine] = records.Pin(order.subject, order.declared)
 
     def mark_met(
         self, record: records.DesiredOrderMet, lease: leases.Lease
     ) -> bool:
-        """Takes in that nothing is to be done for a wish."""
+        """Applies a record that a desired order is already met."""
         if not self.is_current_token(record.token, lease):
             return False
         for desired in self.desired.get(record.engine, []):
@@ -177,14 +177,14 @@
     def close(
         self, record: records.EngineClosed, offset: int, lease: leases.Lease
     ) -> bool:
-        """Takes a closing in; valid from the holder alone."""
+        """Applies a closing; valid only from the holder."""
         if not self.is_current_token(record.token, lease):
             return False
         self.closed[record.engine] = offset
         return True
 
     def open(self, record: records.EngineOpened, lease: leases.Lease) -> bool:
-        """Takes the end of a closing in; never with an order outstanding."""
+        """Applies the end of a closing; void while an order is outstanding."""
         if not self.is_current_token(record.token, lease):
             return False
         if record.engine in self.outstanding:
@@ -193,16 +193,16 @@
         return True
 
     def is_current_token(self, token: int, lease: leases.Lease) -> bool:
-        """Whether a token is that of the present tenure."""
+        """Whether a token is that of the current tenure."""
         if lease.holder is None or lease.released:
             return False
         return lease.holder.token == token
 
     def add_desired(self, record: records.OrderDesired, offset: int) -> bool:
-        """Takes an operator's order in; a repeat of one changes nothing.
+        """Applies an operator's order; a repeated one changes nothing.
 
-        Of two wishes with the same verb for one engine the later on the log
-        takes the place of the earlier.
+        Of two desired orders with the same verb for one engine, the later on
+        the log replaces the earlier.
         """
         queue = self.desired.setdefault(record.engine, [])
         for desired in queue:
@@ -221,7 +221,7 @@
         return True
 
     def drop_desired(self, engine: str, offset: int) -> None:
-        """Forgets a wish."""
+        """Removes a desired order."""
         kept = []
         for desired in self.desired.get(engine, []):
             if desired.offset != offset:
@@ -231,7 +231,7 @@
             self.desired[engine] = kept
 
     def load(self, state: records.Snapshot) -> None:
-        """Starts from what another node had read."""
+        """Replaces the state by another node's snapshot."""
         self.outstanding = dict(state.orders)
         self.closed = dict(state.closed)
         self.desired = {}
@@ -248,11 +248,11 @@
     now: float,
     settings: settings_module.ControlSection,
 ) -> bool:
-    """Whether this node may write this order's bytes at this instant.
+    """Whether this node may write this order's bytes now.
 
     Args:
         order: The engine's outstanding order.
-        tenure: This node's own.
+        tenure: This node's own tenure.
         lease: As last read from the log.
         checks: Whether the engine refuses old tokens.
         now: This node's time.
--- a/packages/gypsumfold/src/gypsumfold/control/records.py
+++ b/packages/gypsumfold/src/gypsumfold/control/records.py
@@ -1,6 +1,6 @@
-"""What control keeps on the log: leases, closed engines, wishes and orders.
+"""Control's log records: leases, closed engines and orders.
 
-All records stand on the stream ``control``; whether one counts is a pure
+All are appended to the stream ``control``. Whether one is valid is a pure
 function of the records before it (`control.leases`, `control.orders`).
 """
 
@@ -14,10 +14,10 @@
 
     Attributes:
         token: Offset of the grant.
-        incarnation: Of the node that holds it.
+        incarnation: Incarnation of the node that holds it.
         node: The node's name.
         address: IP number of the node.
-        ended: Whether the log holds proof that the incarnation is gone.
+        ended: Whether the log has proof that the incarnation has ended.
     """
 
     token: int
@@ -28,15 +28,16 @@
 
 
 class Order(NamedTuple):
-    """An order that was decided on and whose result is not known yet.
+    """An outstanding order: decided on, with a result not yet known.
 
     Attributes:
         id: Unique; the engine answers a repeat as it did the first.
         token: Offset of the intent: the fencing token sent along.
-        author: The incarnation that may send it, and nobody else.
+        author: The only incarnation that may send it.
         verb: ``role``, ``load`` or ``unload``.
         subject: The role or the model.
-        wish: Offset of the operators' wish behind it; -1 for none.
+        desired_offset: Offset of the operator's desired order behind it; -1
+            for none.
         engine: Incarnation of the engine when it was decided on.
         declared: The engine's declared role at that time.
     """
@@ -55,9 +56,10 @@
     """An operator's order that still has to be carried out.
 
     Attributes:
-        offset: Where it stands on the log; a later one goes first.
-        change_id: Of the operator's statement.
-        operator: Who asked for it.
+        offset: Its offset on the log; a later one with the same verb
+            replaces it.
+        change_id: Id of the operator's statement.
+        operator: Name of the operator.
         verb: ``role``, ``load`` or ``unload``.
         subject: The role or the model.
     """
@@ -73,7 +75,7 @@
     """A role that an operator's order set.
 
     Attributes:
-        role: It goes before the declared role and the planner's.
+        role: Takes precedence over the declared role and the planner's.
         declared: The declared role at that time; the pin ends when the
             declaration names another.
     """
@@ -83,20 +85,20 @@
 
 
 class Snapshot(NamedTuple):
-    """The state of one service as its writer had read it.
+    """The state of one service, as its writer had read it from the log.
 
     It lets a node follow a stream whose beginning the log has dropped.
 
     Attributes:
         through: The writer had read all offsets up to this one.
-        last: Offset of the last valid lease record; -1 for none.
+        last_offset: Offset of the last valid lease record; -1 for none.
         time: The log's time of that record.
         holder: The last tenure; None if there was none.
-        released: Whether it has ended by a release.
+        released: Whether that tenure was released.
         predecessors: Earlier tenures whose holders may still send.
         orders: Outstanding order by engine.
         closed: Closed engines, with the offset of the closing.
-        wishes: Open wishes by engine, oldest first.
+        desired: Operators' desired orders by engine, oldest first.
         pins: Roles set by operators' orders, by engine.
     """
 
@@ -124,14 +126,14 @@
     Attributes:
         service: The service.
         action: ``claim``, ``renew`` or ``release``.
-        incarnation: Of the writer.
+        incarnation: Incarnation of the writer.
         node: Name of the writer.
         address: IP number of the writer.
         sequence: Counts the writer's lease records.
         previous: Offset of the last valid lease record it had read; a
             claim or renewal that names another one is void.
         token: Offset of the grant; -1 in a claim.
-        state: What the writer knew.
+        state: The service's state as the writer knew it.
     """
 
     service: str
@@ -147,12 +149,12 @@
 
 @records.register("holder-ended")
 class HolderEnded(NamedTuple):
-    """Proof that an incarnation is gone and will never send again.
+    """Proof that an incarnation has ended and will never send again.
 
     Attributes:
         service: The service whose lease it held.
-        incarnation: The one that is gone.
-        evidence: What shows it, for operators.
+        incarnation: The one that has ended.
+        evidence: The proof, in words for operators.
     """
 
     service: str
@@ -166,7 +168,7 @@
 
     Attributes:
         service: The service.
-        token: Token of the holder, which waited and which alone says so.
+        token: Token of the current holder, which alone may write this.
         cleared: Token of the earlier tenure.
     """
 
@@ -177,7 +179,7 @@
 
 @records.register("seizure")
 class Seizure(NamedTuple):
-    """An operator vouches that an incarnation will never send again."""
+    """An operator's assurance that an incarnation will never send again."""
 
     service: str
     incarnation: str
@@ -187,7 +189,7 @@
 
 @records.register("engine-closed")
 class EngineClosed(NamedTuple):
-    """No node may dispatch to this engine; valid from the holder alone."""
+    """No node may dispatch to this engine; valid only from the holder."""
 
     service: str
     engine: str
@@ -196,7 +198,7 @@
 
 @records.register("engine-opened")
 class EngineOpened(NamedTuple):
-    """Ends a closing; valid from the holder alone."""
+    """Ends a closing; valid only from the holder."""
 
     service: str
     engine: str
@@ -222,16 +224,16 @@
     Attributes:
         service: The service.
         engine: The endpoint's name.
-        lease: Token of the lease that it is sent under.
+        lease: Token of the lease under which it is sent.
         author: The holder's incarnation.
         id: The order's id.
         verb: ``role``, ``load`` or ``unload``.
         subject: The role or the model.
-        wish: Offset of the wish behind it; -1 for none.
-        incarnation: The engine's, as just read.
+        desired_offset: Offset of the desired order behind it; -1 for none.
+        incarnation: The engine's incarnation, as just read.
         declared: The engine's declared role.
-        supersedes: Id of the outstanding order whose place it takes; empty
-            for none. Only for engines that check tokens.
+        supersedes: Id of the outstanding order that it replaces; empty for
+            none. Only for engines that check tokens.
     """
 
     service: str
@@ -249,10 +251,11 @@
 
 @records.register("order-finished")
 class OrderFinished(NamedTuple):
-    """The outstanding order is resolved.
+    """The result of the outstanding order.
 
-    ``done``, ``failed`` (taken, not carried out), ``refused``, or ``void``:
-    it has not taken effect and never will, so that it may be given anew.
+    ``done``, ``failed`` (accepted but not carried out), ``refused``, or
+    ``void``: it has not taken effect and never will, so a new order may be
+    sent.
     """
 
     service: str
@@ -263,13 +266,13 @@
 
 @records.register("wish-met")
 class DesiredOrderMet(NamedTuple):
-    """The engine does already what is wished; valid from the holder alone.
+    """A desired order is already met; valid only from the holder.
 
     Attributes:
         service: The service.
         engine: The endpoint's name.
         token: Token of the holder's lease.
-        wish: Offset of the wish.
+        desired_offset: Offset of the desired order.
         declared: The engine's declared role.
     """
 
--- a/packages/gypsumfold/src/gypsumfold/control/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/control/sending.py
@@ -1,7 +1,7 @@
-"""Sends orders to engines: a connection for each, checked as it is written.
+"""Sends orders to engines, each on a connection of its own.
 
-Nothing is pooled, repeated or redirected. The lease is checked at the very
-instant at which the order's bytes are handed to the socket.
+Nothing is pooled, retried or redirected. The lease is checked at the moment
+the order's bytes are handed to the socket.
 """
 
 from collections.abc import AsyncIterator
@@ -18,15 +18,15 @@
 from gypsumfold.control import records
 from gypsumfold.endpoints import connections
 
-# Share of the quarantine for which sent bytes may stay unacknowledged
-# before the kernel gives the connection up (TCP_USER_TIMEOUT, RFC 5482), so
-# that nothing of an ended process is on its way when the quarantine is over.
+# Fraction of the quarantine for which sent bytes may stay unacknowledged
+# before the kernel closes the connection (TCP_USER_TIMEOUT, RFC 5482), so that
+# nothing from an ended process is in transit when the quarantine is over.
 USER_TIMEOUT_SHARE = 0.5
 MILLISECONDS = 1000
 
 
 class Answer(enum.StrEnum):
-    """What became of a sent order."""
+    """The result of sending an order."""
 
     DONE = "done"
     REFUSED = "refused"
@@ -34,7 +34,8 @@
     UNKNOWN = "unknown"
 
 
-# 409: not taken, for another order or a stale token; a later one may be.
+# 409: not accepted, because of another order or a stale token; a later order
+# may be.
 ANSWERS = {200: Answer.DONE, 400: Answer.REFUSED, 409: Answer.VOID}
 
 
@@ -67,7 +68,7 @@
         self.settings = settings
 
     def session(self) -> aiohttp.ClientSession:
-        """Makes a client whose connections serve one request each."""
+        """Creates a client whose connections serve one request each."""
         connector = aiohttp.TCPConnector(
             force_close=True,
             socket_factory=self.socket,
@@ -76,7 +77,7 @@
         return aiohttp.ClientSession(connector=connector)
 
     def socket(self, address_info) -> socket.socket:
-        """Makes a socket whose bytes do not outlive the quarantine."""
+        """Creates a socket whose sent bytes don't outlive the quarantine."""
         sock = connections.guarded_socket(address_info)
         seconds = self.settings.control.quarantine * USER_TIMEOUT_SHARE
         sock.setsockopt(
@@ -90,7 +91,8 @@
         """Reads an engine's state, on a connection of its own.
 
         Raises:
-            exceptions.EndpointError: It does not answer, or not so.
+            exceptions.EndpointError: It does not answer, or its answer is
+                malformed.
         """
         limit = aiohttp.ClientTimeout(
             total=self.settings.endpoints.connect_timeout
@@ -132,14 +134,14 @@
         """Sends one order, once.
 
         Args:
-            address: The engine's.
+            address: The engine's address.
             order: With its token.
-            check: Raises `exceptions.LeaseLost` if it must not be sent; is
-                called as the bytes are written.
-            limit: Seconds until the answer is given up.
+            check: Called as the bytes are written; raises
+                `exceptions.LeaseLost` if the order must not be sent.
+            limit: Seconds to wait for the answer.
 
         Returns:
-            What the engine answered.
+            The engine's answer.
         """
         timeout = aiohttp.ClientTimeout(
             total=limit, sock_connect=self.settings.endpoints.connect_timeout
@@ -161,7 +163,7 @@
 
 
 def encode(order: records.Order) -> bytes:
-    """Writes an order as engines read it."""
+    """Encodes an order as engines read it."""
     name = "role" if order.verb == "role" else "model"
     return msgspec.json.encode(
         {
@@ -176,6 +178,6 @@
 async def checked(
     order: records.Order, check: Callable[[], None]
 ) -> AsyncIterator[bytes]:
-    """Yields an order's bytes if it may still be sent as they are written."""
+    """Yields an order's bytes, after checking that it may still be sent."""
     check()
     yield encode(order)
