--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -1,7 +1,8 @@
-"""Closes engines on every node before a planned change, and confirms that.
+"""Closes engines on every node before a planned change.
 
-Each node serves two calls: what it knows to be closed (asked by all, for
-their permissions) and the closing of one engine (asked by the holder).
+Each node serves two calls: one lists the engines it knows to be closed (all
+nodes call it, for their permissions), the other closes one engine (the
+lease holder calls it).
 """
 
 import asyncio
@@ -16,25 +17,26 @@
 
 thrift = framing.peers_thrift
 
-# Rounds of asking within the time that a permission lasts: two may be lost.
+# Rounds of calls within the lifetime of a permission: two may be lost.
 ROUNDS = 4
 
 
 class Closing(NamedTuple):
-    """One closing: the engine and its offset on the log."""
+    """One closing: the engine and the closing's offset on the log."""
 
     engine: str
     offset: int
 
 
 class Closer:
-    """This node's part in closings, as holder and as one who dispatches.
+    """This node's part in closings, as lease holder and as dispatcher.
 
     Attributes:
-        majorities: Since when more than half of the nodes know of a closing.
+        majority_since: When more than half of the nodes first knew of a
+            closing, by closing.
 
     >>> closer = Closer(permissions, tail, peers)
-    >>> await closer.quiet(Closing("lm-1", 17))
+    >>> await closer.is_quiet(Closing("lm-1", 17))
     True
     """
 
@@ -53,11 +55,11 @@
 
     @property
     def interval(self) -> float:
-        """Seconds between two rounds, and the time limit of a call."""
+        """Seconds between two rounds, and the timeout of a call."""
         return self.permissions.settings.permission / ROUNDS
 
     async def on_closed(self, message, address: str):
-        """Says what is closed, as far as this node knows."""
+        """Lists the engines that this node knows to be closed."""
         closed = []
         for engine, offset in self.permissions.closed_engines().items():
             closed.append(thrift.ClosedEngine(engine, offset))
@@ -68,13 +70,13 @@
         )
 
     async def on_close(self, message, address: str):
-        """Closes an engine here and says what is still in progress."""
+        """Closes an engine here and returns its dispatches in progress."""
         self.permissions.record_closing(message.engine, message.offset)
         count = self.permissions.dispatching[message.engine]
         return thrift.Dispatching(count)
 
     async def run(self) -> None:
-        """Asks all peers for closings for as long as the node runs."""
+        """Asks all peers for closings as long as the node runs."""
         while True:
             self.permissions.nodes = 1 + len(self.peers.links)
             for gone in set(self.permissions.contacts) - set(self.peers.links):
@@ -84,7 +86,7 @@
             await asyncio.sleep(self.interval)
 
     async def ask(self, address: str) -> None:
-        """Asks one peer what is closed."""
+        """Asks one peer which engines are closed."""
         asked = clocks.now()
         try:
             reply = await self.peers.call(
@@ -102,7 +104,7 @@
         self.permissions.merge(address, asked, reply.through, closed)
 
     async def is_quiet(self, closing: Closing) -> bool:
-        """Whether no node dispatches to a closed engine any more."""
+        """Whether no node dispatches to a closed engine anymore."""
         asked = clocks.now()
         addresses = list(self.peers.links)
         nodes = 1 + len(addresses)
@@ -123,12 +125,16 @@
         )
 
     def forget(self, engine: str) -> None:
-        """Forgets an engine's closings: it is open again."""
+        """Drops an engine's closings once it is open again."""
         for closing in [c for c in self.majority_since if c.engine == engine]:
             del self.majority_since[closing]
 
     async def close(self, address: str, closing: Closing) -> int | None:
-        """Closes an engine on one peer; None if it did not answer."""
+        """Closes an engine on one peer.
+
+        Returns:
+            Dispatches in progress there; None if the peer did not answer.
+        """
         try:
             reply = await self.peers.call(
                 address,
--- a/packages/gypsumfold/src/gypsumfold/control/commands.py
+++ b/packages/gypsumfold/src/gypsumfold/control/commands.py
@@ -1,4 +1,4 @@
-"""Operators' orders and seizures, and what they can be shown of control."""
+"""Operators' orders and seizures, and queries of leases and orders."""
 
 import uuid6
 
@@ -31,7 +31,7 @@
 
 
 class Commands:
-    """Writes operators' commands on the log, where the holder reads them.
+    """Writes operators' commands to the log, where the holder reads them.
 
     >>> await Commands(control).run(statements.Seize("dispatch", old), "ann")
     'seized'
@@ -41,7 +41,15 @@
         self.control = control
 
     async def run(self, command: statements.Command, author: str) -> str:
-        """Runs one command; see `operators.server.Commands`."""
+        """Logs one command; see `operators.server.Commands`.
+
+        Returns:
+            The answer shown to the operator.
+
+        Raises:
+            exceptions.AppendUndetermined: The record was not read back.
+            exceptions.CommandFailed: The endpoint is no declared engine.
+        """
         change_id = str(uuid6.uuid7())
         if isinstance(command, statements.Seize):
             record = records.Seizure(
@@ -63,10 +71,10 @@
         return answer
 
     def service(self, endpoint: str) -> str:
-        """Finds the service of a declared engine.
+        """Returns the service of a declared engine.
 
         Raises:
-            exceptions.CommandFailed: There is none.
+            exceptions.CommandFailed: No engine has this name.
         """
         configuration = self.control.node.configuration
         declared = configuration.get("endpoint", endpoint)
@@ -76,7 +84,7 @@
 
 
 def register(control: control_module.Control, sources: queries.Sources) -> None:
-    """Adds the sources ``leases`` and ``orders``."""
+    """Registers the sources ``leases`` and ``orders`` for queries."""
     sources.register(
         "leases", queries.Source(LEASE_COLUMNS, lambda: lease_rows(control))
     )
@@ -108,7 +116,7 @@
 
 
 def order_rows(control: control_module.Control) -> list[tuple]:
-    """Lists what is wished, outstanding, closed and finished."""
+    """Lists finished, outstanding and desired orders and closed engines."""
     rows = []
     for service, state in sorted(control.control_state.services.items()):
         found = state.orders
@@ -140,7 +148,7 @@
 def order_row(
     engine: str, service: str, state: str, order: records.Order
 ) -> tuple:
-    """Makes the row of one order."""
+    """Returns the row of one order."""
     return (
         engine,
         service,
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -1,4 +1,4 @@
-"""Composes a node's part in control: leases, closings and orders."""
+"""Sets up a node's part in control: leases, closings and orders."""
 
 import asyncio
 from typing import NamedTuple
@@ -19,15 +19,15 @@
 from gypsumfold.logservice import logs
 from gypsumfold.logservice import records
 
-# Reads of the stream within the time that a permission lasts: one may be
-# lost, and each may take as long as it waits.
+# Reads of the stream within the lifetime of a permission: one may be lost,
+# and each may take its full wait.
 READS = 4
-# Seconds that a node which stops waits for its orders' answers.
+# Seconds that a stopping node waits for the answers to its orders.
 STOP_LIMIT = 2 * order_executor.ANSWER_TIMEOUT
 
 
 class ServiceControl(NamedTuple):
-    """What runs for one service."""
+    """The lease manager and order executor of one service."""
 
     lease_manager: lease_manager_module.LeaseManager
     executor: order_executor.OrderExecutor
@@ -78,26 +78,26 @@
         self.services: dict[str, ServiceControl] = {}
 
     def gap(self, wanted: int, first: int) -> None:
-        """Begins anew: the log has dropped what was to be read next."""
+        """Discards all state: the log dropped entries before they were read."""
         self.control_state.gap(wanted, first)
         for service in self.services.values():
             service.lease_manager.tenure.end()
 
     def at_end(self, asked: float) -> None:
-        """Confirms all permissions: every closing was read."""
+        """Extends all permissions: every closing up to `asked` was read."""
         self.control_state.caught_up()
         self.permissions.confirmed = asked
 
     def receive(
         self, logged: control_state_module.LoggedRecord, valid: bool
     ) -> None:
-        """Passes a record on to its service."""
+        """Forwards a record to its service's lease manager."""
         service = self.services.get(logged.record.service)
         if service is not None:
             service.lease_manager.receive(logged, valid)
 
     def reconfigure(self) -> None:
-        """Follows a change of configuration."""
+        """Applies a change of configuration."""
         declared = self.node.configuration.all("service")
         for name in list(self.services):
             if name in declared:
@@ -111,7 +111,7 @@
             self.services[name] = self.start_service(name)
 
     def start_service(self, service: str) -> ServiceControl:
-        """Starts to seek the lease of a service."""
+        """Starts the tasks of a service whose lease this node may hold."""
         lease_manager = lease_manager_module.LeaseManager(
             service,
             self.settings.control,
@@ -138,7 +138,7 @@
         return ServiceControl(lease_manager, executor)
 
     def engines(self, service: str) -> list[order_executor.Engine]:
-        """Lists the engines of a service that were heard of."""
+        """Lists the engines of a service that have reported."""
         found = []
         for watched in self.node.fleet.endpoints.values():
             if watched.declared.service != service:
@@ -152,7 +152,7 @@
         return found
 
     async def release(self) -> None:
-        """Gives all leases up, at the end of a graceful shutdown."""
+        """Releases all leases at the end of a graceful shutdown."""
         limit = clocks.now() + STOP_LIMIT
         for service in self.services.values():
             service.lease_manager.stopping = True
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -1,11 +1,11 @@
-"""Which engines this node may dispatch to; no network.
+"""Decides which engines this node may dispatch to; no network.
 
 A planned change closes an engine by a record on the log. So a node may
-dispatch only while it can be sure to know of every closing: its permission
-lasts some seconds from when it asked the log for the end of the stream. In
-an outage of the log it lasts as long from when it heard at least half of
-the nodes (itself among them); a closing takes effect only once more than
-half of the nodes have acknowledged it, and so one of them knows of it.
+dispatch only while it is sure to know of every closing: its permission lasts
+some seconds from when it asked the log for the end of the stream. In an
+outage of the log it lasts as long from its last contact with at least half
+of the nodes (itself included). A closing takes effect only once more than
+half of the nodes have acknowledged it, so one of those contacted knows of it.
 """
 
 import collections
@@ -30,11 +30,11 @@
         self.engine = engine
 
     def allows(self) -> bool:
-        """Whether this node may dispatch there at this instant."""
+        """Whether this node may dispatch to the engine now."""
         return self.permissions.allows(self.engine, clocks.now())
 
     def check(self) -> None:
-        """Insists on it; see `Permissions.check`."""
+        """Raises unless dispatch is allowed; see `Permissions.check`."""
         self.permissions.check(self.engine, clocks.now())
 
     def dispatch(self) -> contextlib.AbstractContextManager[None]:
@@ -43,13 +43,13 @@
 
 
 class Permissions:
-    """The permissions of one node, asked for at the instant of a dispatch.
+    """The permissions of one node, checked when each dispatch is written.
 
     Attributes:
-        told: Closings heard of from peers, with their offsets.
-        cleared: Up to which offset a peer says that an engine is open.
+        reported_closings: Closings received from peers, with their offsets.
+        open_through: Offset up to which a peer reports that an engine is open.
         confirmed: When the log was last asked for what was then its end.
-        contacts: When each peer was asked that then answered.
+        contacts: For each peer that answered, when it was last asked.
         nodes: Number of nodes, this one included.
         dispatching: Dispatches in progress, by engine.
 
@@ -74,7 +74,7 @@
         self.dispatching = collections.Counter()
 
     def closed_engines(self) -> dict[str, int]:
-        """Lists the closed engines with the offsets of their closings."""
+        """Returns the closed engines with the offsets of their closings."""
         found = {}
         for book in self.control_state.services.values():
             found.update(book.closed_engines())
@@ -87,7 +87,7 @@
         return found
 
     def record_closing(self, engine: str, offset: int) -> None:
-        """Notes a closing that a peer told of."""
+        """Records a closing reported by a peer."""
         self.reported_closings[engine] = max(
             offset, self.reported_closings.get(engine, -1)
         )
@@ -95,13 +95,13 @@
     def merge(
         self, peer: str, asked: float, through: int, closed: dict[str, int]
     ) -> None:
-        """Takes a peer's answer in.
+        """Applies a peer's answer.
 
         Args:
             peer: Its address.
             asked: When it was asked.
-            through: It has read the log up to here.
-            closed: What it knows to be closed.
+            through: The offset up to which it has read the log.
+            closed: Engines that it knows to be closed, with offsets.
         """
         self.contacts[peer] = asked
         for engine, offset in closed.items():
@@ -111,14 +111,14 @@
                 self.open_through[engine] = through
 
     def expires_at(self) -> float:
-        """When this node's permissions lapse."""
+        """Returns when this node's permissions expire."""
         return (
             max(self.confirmed, self.last_majority_contact())
             + self.settings.permission
         )
 
     def last_majority_contact(self) -> float:
-        """Since when at least half of the nodes were heard."""
+        """Returns the time since which at least half of the nodes answered."""
         needed = math.ceil(self.nodes / 2) - 1
         if needed == 0:
             return float("inf")
@@ -126,14 +126,15 @@
         return asked[needed - 1] if len(asked) >= needed else float("-inf")
 
     def allows(self, engine: str, now: float) -> bool:
-        """Whether a dispatch to an engine may be written at this instant."""
+        """Whether a dispatch to an engine may be written at a time."""
         return now < self.expires_at() and engine not in self.closed_engines()
 
     def check(self, engine: str, now: float) -> None:
-        """Insists on the permission.
+        """Raises unless a dispatch to an engine is allowed.
 
         Raises:
-            exceptions.EndpointNotStarted: There is none.
+            exceptions.EndpointNotStarted: The engine is closed or the
+                permission has expired.
         """
         if not self.allows(engine, now):
             raise exceptions.EndpointNotStarted(
@@ -156,19 +157,19 @@
     waited: float,
     settings: settings_module.ControlSection,
 ) -> bool:
-    """Whether no node has a permission for a closed engine any more.
+    """Whether no node has a permission for a closed engine anymore.
 
     More than half of the nodes must have acknowledged the closing. The
-    others' permissions lapse in time: each comes from a question that was
-    put to the log before the closing stood there, or to a node before it
-    acknowledged.
+    others' permissions expire: each comes from a query to the log before the
+    closing was appended, or to a node before it acknowledged the closing.
 
     Args:
-        acknowledged: Nodes that know of the closing, the holder among them.
-        nodes: All nodes.
-        waited: Seconds for which more than half have acknowledged it. Not
-            those since the closing: a node that cannot read the log may
-            have asked another just before that one acknowledged.
+        acknowledged: Number of nodes that know of the closing, including
+            the holder.
+        nodes: Number of all nodes.
+        waited: Seconds since more than half acknowledged the closing. The
+            time since the closing itself won't do: a node that can't read
+            the log may have asked another just before that one acknowledged.
         settings: Durations.
     """
     if 2 * acknowledged <= nodes:
--- a/packages/gypsumfold/src/gypsumfold/control/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/role_planning.py
@@ -12,25 +12,27 @@
 from gypsumfold.endpoints import engines
 from gypsumfold.endpoints import fleet as fleet_module
 
-# Seconds between two looks; demand is measured over two.
+# Seconds between two plans; demand is measured over two intervals.
 PLAN_INTERVAL = 1.0
-# Seconds that a change and the draining before it take: measured with the
-# stand-in engine at half speed (6 s and about 4 s).
+# Seconds that a change and the draining before it take: 6 s and about 4 s
+# with the stand-in engine at half speed.
 CHANGE_SECONDS = 6.0
 DRAIN_SECONDS = 4.0
-# Output tokens a second of a full batch, as a share of batch times the rate
-# of one sequence alone; 0.53 for the stand-in's mixed engine.
+# Output tokens a second of a full batch, as a fraction of the batch size times
+# the rate of a single sequence; 0.53 for the stand-in's mixed engine.
 BATCH_EFFICIENCY = 0.5
-# What a specialised engine does more than a mixed one; 1.33 for prefill and
-# 1.34 for decode of the stand-in (gypsumfold_standins/service_time.py).
+# Throughput of a specialized engine relative to a mixed one; 1.33 for prefill
+# and 1.34 for decode of the stand-in (gypsumfold_standins/service_time.py).
 SPECIALIZED_GAIN = 1.33
 
 
 class RolePlanning:
-    """The planner of one service, and what it has chosen.
+    """Runs the planner of one service and keeps the roles it has chosen.
 
-    >>> planning = Planning("dispatch", fleet, dispatchers, leasing)
-    >>> changes.planned = planning.planned
+    >>> planning = RolePlanning(
+    ...     "dispatch", fleet, dispatchers, lease_manager
+    ... )
+    >>> executor.planned_role = planning.planned_role
     >>> await planning.run()
     """
 
@@ -54,10 +56,10 @@
         return self.fleet.configuration.get("service", self.service)
 
     def planned_role(self, engine: str) -> str | None:
-        """The role wished for; None where the planner has no say.
+        """Returns the desired role; None where the planner may not choose.
 
-        An engine that it has not changed stays as it is, so that a node
-        which takes the lease over does not undo what the last one planned.
+        An engine that it has not changed keeps its role, so that a node that
+        takes over the lease does not undo what the last one planned.
         """
         declared = self.declared
         if declared is None or not declared.planner:
@@ -68,7 +70,7 @@
         return self.choices.get(engine, watched.load.role)
 
     async def run(self) -> None:
-        """Plans for as long as the service is declared."""
+        """Plans as long as the service is declared."""
         while True:
             await asyncio.sleep(PLAN_INTERVAL)
             declared = self.declared
@@ -103,7 +105,7 @@
         )
 
     def demand(self, now: float) -> types.Demand:
-        """What callers ask of all nodes together."""
+        """Returns the callers' demand on all nodes together."""
         dispatcher = self.dispatchers[self.service]
         total = dispatcher.scheduler.demand(now)
         for other in dispatcher.others:
@@ -115,7 +117,7 @@
         return total
 
     def engines(self, now: float) -> list[roles.Engine]:
-        """The service's engines as the planner sees them."""
+        """Returns the service's engines as input for the planner."""
         found = []
         for replica in self.fleet.replicas(self.service):
             if replica.report is None:
@@ -133,7 +135,7 @@
         return found
 
     def rates(self) -> dict[types.Role, roles.Rates]:
-        """Tokens a second by role, from an engine's report."""
+        """Returns tokens a second by role, from an engine's report."""
         for replica in self.fleet.replicas(self.service):
             report = replica.report
             if report is None or replica.role != types.Role.MIXED:
@@ -145,7 +147,7 @@
 
 
 def rates_of(mixed: roles.Rates) -> dict[types.Role, roles.Rates]:
-    """Rates of all roles from those of a mixed engine."""
+    """Derives the rates of all roles from those of a mixed engine."""
     return {
         types.Role.MIXED: mixed,
         types.Role.PREFILL: roles.Rates(mixed.prefill * SPECIALIZED_GAIN, 0.0),
