--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -1,8 +1,8 @@
-"""Who may run a call under an idempotency key: a state machine over the log.
+"""Decides which attempt may run a call with an idempotency key.
 
-A pure function of the records on the claims stream, in the order of their
-offsets and by the log's own clock; no network and no clock of its own, so
-that all nodes come to the same verdict (docs/design/at-most-once.md).
+The decision is a pure function of the records on the claims stream, in the
+order of their offsets and by the log's own clock. It uses no network and no
+local clock, so all nodes decide alike (docs/design/at-most-once.md).
 """
 
 import enum
@@ -12,14 +12,14 @@
 
 from gypsumfold.logservice import records
 
-# Share of the retention by which a key must be younger than the oldest
-# record that the log keeps. It has to exceed FUTURE_SHARE: a claim made as
-# far before the key's own time as is allowed is then still kept when the
+# Fraction of the retention by which a key must be younger than the oldest
+# record that the log keeps. It must exceed MAX_AHEAD_FRACTION: a claim logged
+# as far before the key's own time as is allowed is then still kept when the
 # last claim of the key is accepted.
 AGE_MARGIN_FRACTION = 0.1
-# Share of the retention, and seconds at the most, by which the clock of a
-# caller may be ahead of the log's. NTP keeps VMs within a second; phones
-# may be off by up to a minute without their owners noticing.
+# Fraction of the retention, and maximum in seconds, by which a caller's clock
+# may be ahead of the log's. NTP keeps VMs within a second; phones may be off
+# by up to a minute without their owners noticing.
 MAX_AHEAD_FRACTION = 0.01
 MAX_AHEAD_SECONDS = 60.0
 
@@ -30,12 +30,12 @@
 
 @records.register("claim")
 class Claim(NamedTuple):
-    """One attempt asks to be the one that runs a key.
+    """An attempt's claim to be the one that runs a key.
 
     Attributes:
         id: Incarnation of the node and a sequence number, joined by a
             slash; an append repeated after a lost answer keeps it.
-        account: Whose key it is.
+        account: The client account that owns the key.
         key: The idempotency key, a UUIDv7 in its canonical form.
         digest: SHA-256 over the call and its body, in hex.
     """
@@ -48,14 +48,14 @@
 
 @records.register("claim-release")
 class Release(NamedTuple):
-    """An attempt that has not dispatched and never will.
+    """An attempt has not dispatched and never will.
 
     Attributes:
         claim: The claim's id.
-        account: Whose key it is.
+        account: The client account that owns the key.
         key: The idempotency key.
-        closes: Whether the key ends with it, if the claim was the winning
-            one: then no attempt under it can run any more.
+        closes: Whether it also closes the key, if the claim was the winning
+            one: then no attempt with the key can run anymore.
     """
 
     claim: str
@@ -70,7 +70,7 @@
 
     Attributes:
         claim: The claim's id.
-        account: Whose key it is.
+        account: The client account that owns the key.
         key: The idempotency key.
         result: A value of `outcomes.Outcome`.
         status: HTTP status of the service's answer; 0 where there is none.
@@ -98,14 +98,14 @@
     """What an attempt may do next.
 
     Attributes:
-        CLAIM: Append its claim; nobody else holds the key.
+        CLAIM: Append its claim; no other attempt holds the key.
         WAIT: Another attempt holds the key and has not ended.
-        DISPATCH: Its claim is the winning one, for good.
+        DISPATCH: Its claim is the winning one and stays so.
         ANSWER: The key has an outcome.
-        CONFLICT: The key belongs to another body.
-        CLOSED: The key was refused and cannot run any more.
-        VOID: Its claim counts for nothing: released, or the key is too old
-            or too far in the future by the log's clock.
+        CONFLICT: The key was first used with another body.
+        CLOSED: The key was refused and cannot run anymore.
+        VOID: Its claim is invalid: released, or the key is too old or too
+            far in the future by the log's clock.
     """
 
     CLAIM = "claim"
@@ -118,7 +118,7 @@
 
 
 class Age(enum.StrEnum):
-    """Whether a key's time lies in the window that the log remembers."""
+    """Whether a key's time lies in the window that the log retains."""
 
     VALID = "valid"
     OLD = "old"
@@ -126,19 +126,19 @@
 
 
 class KeyState:
-    """What the log says of one key.
+    """The state of one key, as read from the log.
 
     Attributes:
         account_key: The account and the key.
-        time: By the log's clock, when its first record was taken.
-        digest: Of the first valid claim; fixes the body for good.
+        time: When its first record was appended, by the log's clock.
+        digest: Digest of the first valid claim; later claims must match it.
         claims: Ids of valid claims that are not released, in log order.
-        released: Ids of claims that are void, also ones not seen yet.
-        closed: Whether the winning claim ended the key unrun.
+        released: Ids of released claims, including ones not seen yet.
+        closed: Whether the winning claim closed the key without running it.
         outcome: How the dispatch ended.
     """
 
-    # One stands for each key of the log's whole window.
+    # There is one instance for each key in the log's retention window.
     __slots__ = (
         "account_key",
         "claims",
@@ -159,7 +159,7 @@
         self.outcome: Outcome | None = None
 
     def add_claim(self, claim: Claim) -> None:
-        """Notes a claim whose key's age is valid."""
+        """Applies a claim whose key's age is valid."""
         if claim.id in self.released or claim.id in self.claims:
             return
         if not self.digest:
@@ -168,7 +168,7 @@
             self.claims.append(claim.id)
 
     def add_release(self, release: Release) -> None:
-        """Notes a release; it closes the key only from the winning claim."""
+        """Applies a release; only the winning claim's can close the key."""
         if release.closes and self.winner() == release.claim:
             self.closed = True
         self.released |= {release.claim}
@@ -176,9 +176,9 @@
             self.claims.remove(release.claim)
 
     def add_outcome(self, outcome: Outcome) -> None:
-        """Notes the winning claim's outcome; the first one counts.
+        """Applies the winning claim's outcome; only the first one counts.
 
-        It is kept with the strings that are here already.
+        It reuses the strings already held for the key, to save memory.
         """
         if self.outcome is None and self.winner() == outcome.claim:
             account, key = self.account_key
@@ -187,14 +187,14 @@
             )
 
     def winner(self) -> str:
-        """The claim that may run; empty where none may."""
+        """Returns the id of the claim that may run; empty for none."""
         if self.closed or not self.claims:
             return ""
         return self.claims[0]
 
 
 class Claims:
-    """All keys within the log's window.
+    """All keys within the log's retention window.
 
     >>> claims = Claims(retention=86400.0)
     >>> tail.subscribe(claims.apply, claims.gap)
@@ -202,10 +202,10 @@
     <Step.CLAIM: 'claim'>
 
     Attributes:
-        slots: By account and key, the oldest first.
-        time: The latest time of the log's clock that was seen.
-        floor: Keys must be younger than this: what the log dropped unread
-            may hold claims of older ones.
+        key_states: State by account and key, oldest first.
+        time: The latest time of the log's clock that was read.
+        min_key_time: Keys must be newer than this, because entries that the
+            log dropped unread may hold claims of older ones.
     """
 
     def __init__(self, retention: float):
@@ -218,7 +218,7 @@
         self.has_gap = False
 
     def apply(self, entry: records.Entry) -> None:
-        """Takes the next entry of the stream.
+        """Applies the next entry of the stream.
 
         Args:
             entry: In order of offset, each once.
@@ -233,7 +233,7 @@
         self.prune()
 
     def apply_record(self, record: Record, time: float) -> None:
-        """Takes one record that the log took at a time by its clock."""
+        """Applies one record with its time by the log's clock."""
         account_key = (record.account, record.key)
         valid = self.age(record.key, time) == Age.VALID
         if account_key not in self.key_states:
@@ -249,17 +249,17 @@
             slot.add_outcome(record)
 
     def gap(self, wanted: int, first: int) -> None:
-        """Notes that the log dropped entries before they were read.
+        """Records that the log dropped entries before they were read.
 
         Args:
             wanted: The offset that was to be read next.
-            first: The lowest that is kept.
+            first: The lowest offset that is kept.
         """
         del wanted, first
         self.has_gap = True
 
     def prune(self) -> None:
-        """Forgets keys of which the log keeps no claim."""
+        """Drops keys of which the log keeps no claim."""
         while self.key_states:
             account_key = next(iter(self.key_states))
             if self.key_states[account_key].time > self.time - self.retention:
@@ -267,14 +267,14 @@
             del self.key_states[account_key]
 
     def age(self, key: str, now: float) -> Age:
-        """Judges a key's own time.
+        """Checks a key's own time against the retention window.
 
         Args:
-            key: A UUIDv7 in canonical form, see `canonical`.
+            key: A UUIDv7 in canonical form, see `canonical_key`.
             now: Seconds since the epoch, by the log's clock.
 
         Returns:
-            Whether a claim that the log takes now counts.
+            Whether a claim appended now is valid.
         """
         made = key_time(key)
         if made > now + self.max_ahead:
@@ -284,7 +284,7 @@
         return Age.VALID
 
     def step(self, claim: Claim, read_back: bool) -> Step:
-        """Says what an attempt may do next.
+        """Returns what an attempt may do next.
 
         Args:
             claim: The attempt's claim, appended or not.
@@ -312,34 +312,34 @@
         return Step.VOID if read_back else Step.CLAIM
 
     def outcome(self, account: str, key: str) -> Outcome | None:
-        """The recorded outcome of a key, where there is one."""
+        """Returns the recorded outcome of a key, if any."""
         slot = self.key_states.get((account, key))
         return None if slot is None else slot.outcome
 
     def winner(self, account: str, key: str) -> str:
-        """The id of the claim that may run a key; empty for none."""
+        """Returns the id of the claim that may run a key; empty for none."""
         slot = self.key_states.get((account, key))
         return "" if slot is None else slot.winner()
 
 
 def canonical_key(key: str) -> str:
-    """Gives the one spelling of a UUIDv7 (RFC 9562, section 5.7).
+    """Returns the canonical form of a UUIDv7 (RFC 9562, section 5.7).
 
     Args:
         key: As the caller wrote it.
 
     Returns:
-        Its lowercase form; empty where it is no UUIDv7.
+        Its lowercase form; empty if it is not a UUIDv7.
     """
     key = key.strip().strip('"').lower()
     return key if UUID_PATTERN.fullmatch(key) else ""
 
 
 def key_time(key: str) -> float:
-    """Seconds since the epoch at which a canonical UUIDv7 was made."""
+    """Returns the time of a canonical UUIDv7, in seconds since the epoch."""
     return (uuid.UUID(key).int >> 80) / 1000
 
 
 def incarnation_of(claim_id: str) -> str:
-    """The incarnation of the node that made a claim."""
+    """Returns the incarnation of the node that made a claim."""
     return claim_id.rpartition("/")[0]
