--- a/packages/gypsumfold/src/gypsumfold/changes.py
+++ b/packages/gypsumfold/src/gypsumfold/changes.py
@@ -1,7 +1,7 @@
-"""Changes of configuration: their records and the rules of validity.
+"""Changes of configuration: their records and validation.
 
-Whether a change is valid depends on nothing but the log before it, so that
-all nodes agree without talking to each other.
+Whether a change is valid depends only on the log before it, so all nodes
+agree without exchanging messages.
 """
 
 from collections.abc import Iterable
@@ -19,14 +19,14 @@
 from gypsumfold.operators import language
 from gypsumfold.operators import statements
 
-# Seconds by which a change id, a UUIDv7 (RFC 9562), may be older than its
-# record's place on the log. Ids are remembered for as long, so 1,500 changes
-# a day make 63 of them; a client repeats a lost append within seconds.
+# Seconds by which a change id, a UUIDv7 (RFC 9562), may be older than the
+# log's time of its record. Ids are kept as long, which is 63 of them at 1,500
+# changes a day; a client retries a lost append within seconds.
 MAX_ID_AGE_SECONDS = 3600.0
 # Seconds by which an operator's clock may be ahead of the log's.
 MAX_ID_AHEAD_SECONDS = 300.0
 
-# Names stand in URLs, headers and metrics, so they hold no blanks.
+# Names appear in URLs, headers and metrics, so they contain no blanks.
 NAME = re.compile(r"[!-~]{1,200}")
 
 Declared = rules.Declared
@@ -38,8 +38,8 @@
 
     Attributes:
         verb: ``create``, ``alter`` or ``drop``.
-        kind: Of the object.
-        name: Of the object.
+        kind: Kind of the object.
+        name: Name of the object.
         fields: The fields to set.
     """
 
@@ -62,9 +62,9 @@
     """A change on the log: all of its operations take effect, or none.
 
     Attributes:
-        change_id: A UUIDv7; a record repeated with it has no second effect.
+        change_id: A UUIDv7; a repeated record with it has no second effect.
         author: The operator's name.
-        operations: In order.
+        operations: The steps, in order.
         preconditions: Revisions that the objects must still have.
     """
 
@@ -75,14 +75,14 @@
 
 
 class Outcome(NamedTuple):
-    """What became of a change.
+    """The result of a change.
 
     Attributes:
-        change_id: The change.
-        offset: Where it stands on the log.
+        change_id: Id of the change.
+        offset: Its offset on the log.
         accepted: Whether it took effect.
-        reason: Why it did not.
-        difference: Line by line, what is in force against what was asked.
+        reason: Why it did not take effect.
+        difference: Lines that compare what is in force with what was asked.
     """
 
     change_id: str
@@ -95,13 +95,13 @@
 def operations(
     changes: Iterable[statements.Change],
 ) -> tuple[Operation, ...]:
-    """Turns parsed statements into operations.
+    """Converts parsed statements to operations.
 
     Args:
         changes: Statements that change the configuration.
 
     Returns:
-        One operation for each.
+        One operation for each statement.
     """
     found = []
     for change in changes:
@@ -122,16 +122,16 @@
 
 
 def id_time(change_id: str) -> float:
-    """Reads the time out of a change id.
+    """Extracts the time from a change id.
 
     Args:
         change_id: A UUIDv7.
 
     Returns:
-        Seconds since the epoch, by the clock of whoever made it.
+        Seconds since the epoch, by the clock of the process that made it.
 
     Raises:
-        exceptions.ChangeRejected: It is no UUIDv7.
+        exceptions.ChangeRejected: The id is not a lowercase UUIDv7.
     """
     try:
         parsed = uuid.UUID(change_id)
@@ -147,13 +147,13 @@
 
 
 def is_void(change_id: str, now: float) -> bool:
-    """Tells whether a record has no effect and no outcome.
+    """Returns whether a record has no effect and no outcome.
 
-    What became of an earlier record with an id that is too old may have
-    been forgotten, so nothing may be said of the id any more.
+    The result of an earlier record with an id that is too old may already
+    have been dropped, so no outcome can be given for the id.
 
     Args:
-        change_id: As the record has it.
+        change_id: The id in the record.
         now: The log's time, in seconds since the epoch.
     """
     try:
@@ -163,7 +163,7 @@
 
 
 def check_ahead(change_id: str, now: float) -> None:
-    """Refuses ids that would have to be remembered for too long.
+    """Rejects ids that would have to be kept for too long.
 
     Raises:
         exceptions.ChangeRejected: The id's time is in the future.
@@ -176,7 +176,7 @@
 
 
 class Draft:
-    """The objects as they would be after a change; the base stays as it is.
+    """The objects as they would be after a change; the base is unchanged.
 
     >>> draft = Draft(configuration.objects, offset=12)
     >>> draft.run(change)
@@ -190,11 +190,11 @@
         self.changed_kinds: set[str] = set()
 
     def run(self, change: Change) -> None:
-        """Carries a change out.
+        """Applies a change.
 
         Raises:
-            exceptions.ChangeRejected: Some rule forbids it; the draft is
-                then of no use.
+            exceptions.ChangeRejected: A rule forbids it; the draft must then
+                be discarded.
         """
         if not change.operations:
             raise exceptions.ChangeRejected("the change says nothing")
@@ -204,7 +204,7 @@
         rules.check(self.objects, self.changed_kinds)
 
     def check_preconditions(self, change: Change) -> None:
-        """Compares the revisions that the author saw with those in force."""
+        """Compares the revisions that the author saw with the current ones."""
         changed = []
         named = {(kind, name) for kind, name, _ in change.preconditions}
         for _, kind, name, _ in change.operations:
@@ -251,10 +251,10 @@
 def merge_fields(
     kind: str, name: str, current: Declared | None, fields: dict[str, Any]
 ) -> objects.Object:
-    """Sets fields of an object and checks the result.
+    """Sets fields of an object and validates the result.
 
     Raises:
-        exceptions.ChangeRejected: A field is unknown, missing or wrong.
+        exceptions.ChangeRejected: A field is unknown, missing or invalid.
     """
     values = msgspec.structs.asdict(current.value) if current else {}
     values.update(fields)
@@ -265,7 +265,7 @@
 
 
 def difference(found: Objects, change: Change) -> tuple[str, ...]:
-    """Lists what is in force against what a change asked for.
+    """Compares what is in force with what a change asked for.
 
     Args:
         found: The objects in force.
