--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -240,13 +240,13 @@
             if not valid or isinstance(record, Outcome):
                 return
             self.key_states[account_key] = KeyState(account_key, time)
-        slot = self.key_states[account_key]
+        key_state = self.key_states[account_key]
         if isinstance(record, Claim) and valid:
-            slot.add_claim(record)
+            key_state.add_claim(record)
         elif isinstance(record, Release):
-            slot.add_release(record)
+            key_state.add_release(record)
         elif isinstance(record, Outcome):
-            slot.add_outcome(record)
+            key_state.add_outcome(record)
 
     def gap(self, wanted: int, first: int) -> None:
         """Records that the log dropped entries before they were read.
@@ -294,32 +294,32 @@
             The step; `Step.DISPATCH` stays true until the attempt itself
             appends a release or an outcome.
         """
-        slot = self.key_states.get((claim.account, claim.key))
-        if slot is None:
+        key_state = self.key_states.get((claim.account, claim.key))
+        if key_state is None:
             return Step.VOID if read_back else Step.CLAIM
-        if slot.digest and slot.digest != claim.digest:
+        if key_state.digest and key_state.digest != claim.digest:
             return Step.CONFLICT
-        if slot.outcome is not None:
+        if key_state.outcome is not None:
             return Step.ANSWER
-        if slot.closed:
+        if key_state.closed:
             return Step.CLOSED
-        if claim.id in slot.released:
+        if claim.id in key_state.released:
             return Step.VOID
-        if slot.winner() == claim.id:
+        if key_state.winner() == claim.id:
             return Step.DISPATCH
-        if slot.winner():
+        if key_state.winner():
             return Step.WAIT
         return Step.VOID if read_back else Step.CLAIM
 
     def outcome(self, account: str, key: str) -> Outcome | None:
         """Returns the recorded outcome of a key, if any."""
-        slot = self.key_states.get((account, key))
-        return None if slot is None else slot.outcome
+        key_state = self.key_states.get((account, key))
+        return None if key_state is None else key_state.outcome
 
     def winner(self, account: str, key: str) -> str:
         """Returns the id of the claim that may run a key; empty for none."""
-        slot = self.key_states.get((account, key))
-        return "" if slot is None else slot.winner()
+        key_state = self.key_states.get((account, key))
+        return "" if key_state is None else key_state.winner()
 
 
 def canonical_key(key: str) -> str:
--- a/packages/gypsumfold/src/gypsumfold/control/closing.py
+++ b/packages/gypsumfold/src/gypsumfold/control/closing.py
@@ -79,8 +79,10 @@
         """Asks all peers for closings as long as the node runs."""
         while True:
             self.permissions.nodes = 1 + len(self.peers.links)
-            for gone in set(self.permissions.contacts) - set(self.peers.links):
-                del self.permissions.contacts[gone]
+            for removed in set(self.permissions.contacts) - set(
+                self.peers.links
+            ):
+                del self.permissions.contacts[removed]
             asks = [self.ask(address) for address in self.peers.links]
             await asyncio.gather(*asks)
             await asyncio.sleep(self.interval)
--- a/packages/gypsumfold/src/gypsumfold/control/control_state.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control_state.py
@@ -38,11 +38,13 @@
     >>> state.apply(logged, now=1.0)
     """
 
-    def __init__(self, service: str, retention: float, first: int, begun: bool):
+    def __init__(
+        self, service: str, retention: float, first: int, is_known: bool
+    ):
         self.service = service
         self.retention = retention
         self.first = first
-        self.is_known = begun
+        self.is_known = is_known
         self.pending: list[LoggedRecord] = []
         self.lease = leases.Lease(retention)
         self.orders = orders.Orders()
--- a/packages/gypsumfold/src/gypsumfold/control/order_executor.py
+++ b/packages/gypsumfold/src/gypsumfold/control/order_executor.py
@@ -189,9 +189,9 @@
 
         This also limits load on the weight store: each load is a change.
         """
-        taken = {*self.logged_orders.closed, *self.logged_orders.outstanding}
-        taken -= {engine.name, *self.blocked}
-        return len(taken) < self.settings.control.changes
+        changing = {*self.logged_orders.closed, *self.logged_orders.outstanding}
+        changing -= {engine.name, *self.blocked}
+        return len(changing) < self.settings.control.changes
 
     async def record_met(
         self, engine: Engine, wanted: desired_orders.NextOrder
--- a/packages/gypsumfold/src/gypsumfold/control/permissions.py
+++ b/packages/gypsumfold/src/gypsumfold/control/permissions.py
@@ -53,7 +53,7 @@
         nodes: Number of nodes, this one included.
         dispatching: Dispatches in progress, by engine.
 
-    >>> permissions = Permissions(settings.control, books)
+    >>> permissions = Permissions(settings.control, control_state)
     >>> permissions.confirmed = 10.0
     >>> permissions.allows("lm-1", now=12.9)
     True
@@ -76,8 +76,8 @@
     def closed_engines(self) -> dict[str, int]:
         """Returns the closed engines with the offsets of their closings."""
         found = {}
-        for book in self.control_state.services.values():
-            found.update(book.closed_engines())
+        for state in self.control_state.services.values():
+            found.update(state.closed_engines())
         for engine, offset in self.reported_closings.items():
             if offset > self.control_state.through:
                 found[engine] = max(offset, found.get(engine, -1))
