--- a/packages/gypsumfold/src/gypsumfold/operators/publishing.py
+++ b/packages/gypsumfold/src/gypsumfold/operators/publishing.py
@@ -41,8 +41,8 @@
     changes.check_ahead(change_id, now)
     if changes.is_void(change_id, now):
         raise exceptions.ChangeRejected(
-            f"the change id is more than {changes.MAX_ID_AGE_SECONDS:.0f} s old; what "
-            "became of an earlier attempt is no longer known"
+            f"the change id is more than {changes.MAX_ID_AGE_SECONDS:.0f} s "
+            "old; what became of an earlier attempt is no longer known"
         )
 
 
