--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -214,7 +214,7 @@
         self.max_key_age = retention * (1 - AGE_MARGIN_FRACTION)
         self.key_states: dict[tuple[str, str], KeyState] = {}
         self.time = 0.0
-        self.min_key_time = 0.0
+        self.floor = 0.0
         self.has_gap = False
 
     def apply(self, entry: records.Entry) -> None:
@@ -225,7 +225,7 @@
         """
         self.time = max(self.time, entry.time)
         if self.has_gap:
-            self.min_key_time = entry.time + self.max_ahead
+            self.floor = entry.time + self.max_ahead
             self.has_gap = False
         for record in entry.records:
             if isinstance(record, Record):
@@ -279,7 +279,7 @@
         made = key_time(key)
         if made > now + self.max_ahead:
             return Age.FUTURE
-        if made <= max(now - self.max_key_age, self.min_key_time):
+        if made <= max(now - self.max_key_age, self.floor):
             return Age.OLD
         return Age.VALID
 
