--- a/packages/gypsumfold/src/gypsumfold/claims.py
+++ b/packages/gypsumfold/src/gypsumfold/claims.py
@@ -204,7 +204,7 @@
     Attributes:
         key_states: State by account and key, oldest first.
         time: The latest time of the log's clock that was read.
-        min_key_time: Keys must be newer than this, because entries that the
+        floor: Keys must be newer than this, because entries that the
             log dropped unread may hold claims of older ones.
     """
 
