--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -429,8 +429,10 @@
     ) -> None:
         """Receives a relay's summary."""
         self.leave_mesh()
-        self.receive_knowledge(member, summary.knowledge, summary.to_relays)
-        if summary.to_relays:
+        self.receive_knowledge(
+            member, summary.knowledge, summary.between_relays
+        )
+        if summary.between_relays:
             self.receive_relay_summary(member, summary, now)
             return
         if member.data_centre != self.members.own.data_centre:
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -225,7 +225,7 @@
     sender: Contact
     sequence: int
     node_count: Count
-    to_relays: bool
+    between_relays: bool
     load_delta: LoadDelta
     updates: Updates
     knowledge: Knowledge | None = None
