--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -458,12 +458,12 @@
         self,
         member: members_module.Member,
         received: messages.Knowledge | None,
-        between: bool,
+        between_relays: bool,
     ) -> None:
         """Receives what another node has read in the store."""
         knowledge = self.summaries.knowledge
         if received is not None and knowledge is not None:
-            knowledge.receive(received, member.address, between)
+            knowledge.receive(received, member.address, between_relays)
 
     def receive_relay_summary(
         self,
