--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -75,7 +75,7 @@
         homes: prefix_routing_module.PrefixRouter,
         leadership: leadership_module.Leadership,
         directory: directory_module.Directory,
-        crashes: quarantine_module.Quarantine,
+        quarantine: quarantine_module.Quarantine,
     ):
         self.directory = directory
         self.address = settings.peers.address
@@ -96,17 +96,17 @@
         self.outbox = outbox_module.Outbox()
         self.sealer = seals.Sealer(settings.peers.keys)
         self.sender = sending.Sender(self.members, self.sealer)
-        self.quarantine = crashes
+        self.quarantine = quarantine
         link = settings.node.link_mbps
         self.crash_updates = crash_updates_module.CrashUpdates(
             self.sender,
-            crashes,
+            quarantine,
             bandwidth.Bandwidth(link, bandwidth.CRASHES_SHARE),
             self.crash_update_receivers,
         )
-        crashes.notify_peers = self.crash_updates.due.set
-        crashes.is_relay = self.is_relay
-        crashes.propagation_time = self.propagation_time
+        quarantine.notify_peers = self.crash_updates.due.set
+        quarantine.is_relay = self.is_relay
+        quarantine.propagation_time = self.propagation_time
         self.reports = reports_module.Reports(
             self.members, self.relays, self.loads, self.sender
         )
