--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -345,12 +345,12 @@
 
     def send_summaries(self, now: float) -> None:
         """Sends summaries to subscribers and, if a relay, to other relays."""
-        relays = self.choice.relay is None
-        if relays:
+        is_relay = self.choice.relay is None
+        if is_relay:
             self.forward(self.take_updates(now), now)
         due = self.relaying.due_subscribers(now)
         self.send_to_nodes(due, now)
-        if relays and self.relays.is_settled(now):
+        if is_relay and self.relays.is_settled(now):
             self.summaries.send_to_relays(now)
 
     def send_to_nodes(
