--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -169,8 +169,8 @@
         learn that its own is suspected.
         """
         own = self.members.own.data_centre
-        relays = not self.meshed and self.choice.relay is None
-        return relays and member.data_centre == own
+        is_relay = not self.meshed and self.choice.relay is None
+        return is_relay and member.data_centre == own
 
     def drop_node(self, name: str) -> None:
         """Forgets a node that has left or died."""
