--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -211,9 +211,9 @@
         sender: The sending node.
         sequence: Increases with each message of the sender.
         node_count: Number of nodes in the load totals.
-        to_relays: Whether it goes to relays of other data centres, with the
-            totals of the sender's data centre; otherwise with those of the
-            whole site.
+        between_relays: Whether it goes to relays of other data centres, with
+            the totals of the sender's data centre; otherwise it has those of
+            the whole site.
         load_delta: Changes in the work at engines.
         updates: Events at those nodes since the last summary.
         knowledge: What the sender has read in the store.
