--- a/packages/gypsumfold/src/gypsumfold/platform/decoding.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes what operators and replicas write into the store."""
+"""Decodes the records of operators and replicas; encodes orders."""
 
 import json
 import re
@@ -12,8 +12,8 @@
 from gypsumfold.gateway import types
 from gypsumfold.platform import names
 
-# What decoding raises for bytes that hold no such value; for lists in lists
-# beyond 1,000 levels it is the last one.
+# Raised when decoding malformed bytes; RecursionError comes from lists nested
+# deeper than 1,000 levels.
 DECODE_ERRORS = (msgspec.DecodeError, UnicodeDecodeError, RecursionError)
 # IP:PORT of a replica.
 ADDRESS = re.compile(r"[0-9a-fA-F.:\[\]]+:[0-9]{1,5}")
@@ -27,7 +27,7 @@
 
 
 class RouteRecord(msgspec.Struct):
-    """A route as operators write it."""
+    """A route in the operators' configuration."""
 
     name: str
     host: str
@@ -40,12 +40,12 @@
     service: str = ""
     split: list[TargetRecord] | None = None
     resumable: bool = False
-    # The longest pause between events that is still on time.
+    # Longest pause between events of a stream that still counts as on time.
     pause_ms: float = msgspec.field(name="gapAimMs", default=0.0)
 
 
 class EngineRecord(msgspec.Struct):
-    """What the model engines of a service can do."""
+    """Capabilities of the model engines of a service."""
 
     cache_tokens: int = msgspec.field(name="kvTokens", default=0)
     token_bytes: int = msgspec.field(name="tokenKvBytes", default=0)
@@ -55,7 +55,7 @@
 
 
 class ServiceRecord(msgspec.Struct):
-    """A service as operators write it."""
+    """A service in the operators' configuration."""
 
     name: str
     connections: int = msgspec.field(name="maxConns", default=0)
@@ -63,7 +63,7 @@
 
 
 class LimitsRecord(msgspec.Struct):
-    """What callers may send, as operators write it."""
+    """Limits on callers' requests in the operators' configuration."""
 
     body_bytes: int = msgspec.field(name="maxBodyBytes", default=4194304)
     header_ms: float = msgspec.field(name="headerTimeoutMs", default=10000.0)
@@ -71,7 +71,7 @@
 
 
 class ConfigurationRecord(msgspec.Struct):
-    """All that operators declare."""
+    """The complete configuration that operators declare."""
 
     version: int
     routes: list[RouteRecord]
@@ -88,9 +88,10 @@
     slots: int
     state: str
     stage: str = ""
-    # Unix milliseconds of its start; some replicas do not say.
+    # Start time in Unix milliseconds; some replicas leave it out.
     born: int | None = None
-    # Orders accepted where there is a stage; else a mere counter.
+    # Number of accepted orders if the replica has a stage; otherwise a counter
+    # without meaning.
     orders: int = msgspec.field(name="seq", default=0)
 
 
@@ -98,14 +99,14 @@
     """Decodes the operators' configuration.
 
     Raises:
-        exceptions.RecordInvalid: It cannot be read.
+        exceptions.RecordInvalid: The value is malformed.
     """
     record = convert(value, ConfigurationRecord)
     found = []
     for route in record.routes:
         if route.kind not in names.ROUTE_KINDS:
             raise exceptions.RecordInvalid(
-                f"route {route.name} is of an unknown kind: {route.kind}"
+                f"route {route.name} has an unknown kind: {route.kind}"
             )
         found.append(_route(route))
     return types.Configuration(
@@ -124,11 +125,11 @@
     """Decodes a registration.
 
     Args:
-        instance: The key that it stands under.
+        instance: The key of the record.
         value: The record's value.
 
     Raises:
-        exceptions.RecordInvalid: It cannot be read.
+        exceptions.RecordInvalid: The value is malformed.
     """
     record = convert(value, ReplicaRecord, strict=True)
     _check_replica(record)
@@ -146,23 +147,27 @@
 
 
 def _check_replica(record: ReplicaRecord) -> None:
-    """Refuses a registration that no replica would write.
+    """Rejects a registration with values that no replica writes.
 
     Raises:
-        exceptions.RecordInvalid: It names no replica that could be used.
+        exceptions.RecordInvalid: A value is unknown or out of range.
     """
     if record.state not in names.REPLICA_STATES:
-        raise exceptions.RecordInvalid(f"an unknown state: {record.state!r}")
+        raise exceptions.RecordInvalid(f"unknown state: {record.state!r}")
     if record.stage and record.stage not in names.ROLES:
-        raise exceptions.RecordInvalid(f"an unknown role: {record.stage!r}")
+        raise exceptions.RecordInvalid(f"unknown role: {record.stage!r}")
     if record.slots < 1 or record.orders < 0:
-        raise exceptions.RecordInvalid("a count is negative")
+        raise exceptions.RecordInvalid(
+            f"slots {record.slots} or seq {record.orders} is too low"
+        )
     if not ADDRESS.fullmatch(record.address):
-        raise exceptions.RecordInvalid(f"no address: {record.address!r}")
+        raise exceptions.RecordInvalid(
+            f"address is not IP:PORT: {record.address!r}"
+        )
 
 
 class StateRecord(msgspec.Struct):
-    """An engine's state as it reports it."""
+    """The state that an engine reports."""
 
     stage: str = ""
     busy: bool = False
@@ -173,7 +178,7 @@
 
 
 class HandleRecord(msgspec.Struct):
-    """What an engine says of a prompt that it has read."""
+    """An engine's answer to a finished prefill."""
 
     handle: str
 
@@ -182,11 +187,11 @@
     """Decodes an engine's report.
 
     Raises:
-        exceptions.RecordInvalid: It cannot be read.
+        exceptions.RecordInvalid: The value is malformed.
     """
     record = convert(value, StateRecord, strict=True)
     if record.stage and record.stage not in names.ROLES:
-        raise exceptions.RecordInvalid(f"an unknown role: {record.stage!r}")
+        raise exceptions.RecordInvalid(f"unknown role: {record.stage!r}")
     return types.State(
         names.ROLES.get(record.stage),
         record.busy,
@@ -198,26 +203,31 @@
 
 
 def decode_handle(value: bytes) -> str:
-    """Decodes the id of a KV cache that waits to be taken.
+    """Decodes the id of a KV cache that waits for its decode engine.
 
     Raises:
-        exceptions.RecordInvalid: It cannot be read.
+        exceptions.RecordInvalid: The value is malformed.
     """
     return convert(value, HandleRecord).handle
 
 
 class CacheListRecord(msgspec.Struct):
-    """What an engine keeps: rows of nothing, part, tokens, model."""
+    """Cached prefix blocks of an engine.
+
+    Attributes:
+        held: Rows of unused, block id, tokens and model.
+        born: Start time of the engine in Unix milliseconds.
+    """
 
     held: list[tuple[str, str, int, str]]
     born: int | None = None
 
 
 def decode_cache_list(value: bytes) -> types.CacheList:
-    """Decodes the parts of prompts that an engine keeps.
+    """Decodes the list of prefix blocks that an engine caches.
 
     Raises:
-        exceptions.RecordInvalid: It cannot be read.
+        exceptions.RecordInvalid: The value is malformed.
     """
     record = convert(value, CacheListRecord)
     blocks = [chains.Block(row[1], row[2]) for row in record.held]
@@ -243,10 +253,10 @@
     Args:
         value: The JSON text.
         record_type: The type of the record.
-        strict: Whether a number in quotes is no number.
+        strict: Whether to reject numbers in quotes.
 
     Raises:
-        exceptions.RecordInvalid: It cannot be read.
+        exceptions.RecordInvalid: The value is malformed.
     """
     try:
         return msgspec.json.decode(value, type=record_type, strict=strict)
