--- a/packages/gypsumfold/src/gypsumfold/platform/ingress.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/ingress.py
@@ -1,4 +1,4 @@
-"""Decodes callers' requests and encodes the answers that nodes make."""
+"""Decodes callers' requests and encodes the nodes' own answers."""
 
 import math
 
@@ -8,9 +8,10 @@
 from gypsumfold.gateway import types
 from gypsumfold.platform import names
 
-# Digits of a count of tokens; contexts of models hold some millions.
+# Digits of a token count; model contexts hold a few million tokens.
 MAX_COUNT_DIGITS = 9
-# Seconds for a request whose caller names no time; longer than any route's.
+# Time left for a request whose caller states none; longer than the limit of
+# any route.
 DEFAULT_TIME_LEFT_SECONDS = 3600.0
 
 
@@ -21,17 +22,17 @@
     body: bytes | None,
     arrival: float,
 ) -> types.Call:
-    """Makes a call out of a caller's request.
+    """Decodes a caller's request.
 
     Args:
         method: HTTP method.
-        target: Path and query as they came.
-        fields: Header fields as they came.
-        body: The whole body; None where there is none.
+        target: Path and query as received.
+        fields: Header fields as received.
+        body: The complete body, or None.
         arrival: When the request's head was read.
 
     Raises:
-        exceptions.RequestInvalid: A header cannot be read.
+        exceptions.RequestInvalid: A header is malformed.
     """
     found = {name.lower(): value for name, value in fields}
     counts = parse_counts(get_header(found, names.TOKEN_COUNTS))
@@ -52,18 +53,18 @@
 
 
 def call_id(fields: types.Fields) -> str:
-    """Reads the id of a caller's attempt; empty where it has none."""
+    """Returns the id of a caller's attempt, or an empty string."""
     return get_header(
         {name.lower(): value for name, value in fields}, names.ATTEMPT
     )
 
 
 def forwarded_fields(fields: types.Fields) -> types.Fields:
-    """Keeps the fields that go on to a replica.
+    """Selects the header fields that are forwarded to a replica.
 
-    A field that the Connection header names concerns this connection only.
-    What only nodes may set is taken out, since a caller could name another
-    one's KV cache with it.
+    Fields that the Connection header names concern this connection only.
+    Fields that only nodes may set are removed, since a caller could use them
+    to name another caller's KV cache.
     """
     connection_fields = set()
     for name, value in fields:
@@ -89,24 +90,24 @@
 
 
 def get_header(headers: dict[bytes, bytes], name: str) -> str:
-    """Reads one header; empty where it is missing."""
+    """Returns one header, or an empty string if it is missing."""
     return headers.get(name.lower().encode(), b"").decode("latin-1").strip()
 
 
 def is_count(value: str) -> bool:
-    """Whether a text is a number of tokens that anybody could mean.
+    """Whether a text is a plausible number of tokens.
 
-    Python refuses to convert more than 4,300 digits, and a float holds no
-    more than 308.
+    The length is limited because Python refuses to convert more than 4,300
+    digits and a float holds at most 308.
     """
     return value.isdecimal() and len(value) <= MAX_COUNT_DIGITS
 
 
 def parse_counts(value: str) -> list[int]:
-    """Reads comma-separated counts.
+    """Parses comma-separated counts.
 
     Raises:
-        exceptions.RequestInvalid: They are no counts.
+        exceptions.RequestInvalid: An entry is not a count.
     """
     if not value:
         return []
@@ -123,10 +124,10 @@
 
 
 def parse_time_left(value: str) -> float:
-    """Reads the milliseconds that a caller waits; returns seconds.
+    """Parses the milliseconds that a caller waits; returns seconds.
 
     Raises:
-        exceptions.RequestInvalid: It is no number.
+        exceptions.RequestInvalid: It is not a finite number.
     """
     if not value:
         return DEFAULT_TIME_LEFT_SECONDS
@@ -143,10 +144,10 @@
 
 
 def parse_chain(value: str) -> chains.Chain:
-    """Reads the parts of a prompt: ID:TOKENS, separated by commas.
+    """Parses the prefix blocks of a prompt: comma-separated ID:TOKENS.
 
     Raises:
-        exceptions.RequestInvalid: It is no such list.
+        exceptions.RequestInvalid: It is not such a list.
     """
     if not value:
         return ()
@@ -163,11 +164,11 @@
 
 
 def failure_fields(call_id: str, retry_after: float | None) -> dict[str, str]:
-    """The header fields of an answer that the node makes itself.
+    """Returns the header fields of an answer that the node makes itself.
 
     Args:
-        call_id: The caller's attempt; empty where it is not known.
-        retry_after: Seconds until a repeat makes sense, or None.
+        call_id: The id of the caller's attempt; empty if unknown.
+        retry_after: Seconds until a retry makes sense, or None.
     """
     found = {}
     if call_id:
