--- a/packages/gypsumfold/src/gypsumfold/platform/names.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/names.py
@@ -1,18 +1,18 @@
-"""Every name that the users' platform puts on the wire.
+"""All names that the users' platform uses on the wire.
 
-Nothing outside this package spells one of them. Where a name says something
-else than what it holds, the comment above it says what that is.
+No module outside this package spells them out. Comments explain the names that
+do not match their content.
 """
 
 from gypsumfold.decisions import routes
 from gypsumfold.decisions import types
 
-# Headers of a request. The first is new for each attempt of a caller.
+# Request headers. The first one differs for each attempt of a caller.
 ATTEMPT = "Attempt-Id"
 TIME_LEFT = "Deadline-Ms"
 MODEL = "Model"
 TOKEN_COUNTS = "Token-Counts"
-# The whole chain of prompt parts, not one hash.
+# The complete chain of prefix blocks, not one hash.
 CHAIN = "Prefix-Hash"
 LAST_EVENT = "Last-Event-Id"
 
@@ -20,9 +20,9 @@
 EXPECTED_INSTANCE = "Expect-Instance"
 URGENCY = "Request-Priority"
 STAGE = "Stage"
-# IP:PORT/HANDLE of the KV cache to take over.
+# IP:PORT/HANDLE of the KV cache to transfer.
 CACHE_HANDLE = "Kv-Source"
-# IP:PORT of a replica whose cached prompt parts are copied first.
+# IP:PORT of a replica whose cached prefix blocks are copied first.
 CACHE_PEER = "Kv-Fetch"
 NODE_ONLY = frozenset(
     name.lower().encode()
@@ -39,13 +39,13 @@
     )
 )
 
-# Headers of an answer. The first marks an answer that a replica made.
+# Response headers. The first one marks an answer that a replica made.
 SEAL = "Response-Seal"
 NOT_RUN = "Not-Run"
 RETRY_AFTER = "Retry-After"
 INSTANCE = "Instance-Id"
 
-# Headers that concern one connection only and are never passed on.
+# Headers that concern one connection only and are never forwarded.
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -69,13 +69,13 @@
 HANDLE_PATH = "/v1/kv-handle/"
 CACHE_LIST_PATH = "/v1/kv-list"
 
-# Calls to the store and the topics and keys in it.
+# Calls to the store, and its topics and keys.
 APPEND_PATH = "/v1/log-append"
 READ_PATH = "/v1/log-read"
 NEWEST_PATH = "/v1/log-newest"
 JOIN_PATH = "/v1/log-join"
 LEAVE_PATH = "/v1/log-leave"
-# What each call is named in logs and metrics.
+# Names of the calls in logs and metrics.
 STORE_CALL_NAMES = {
     APPEND_PATH: "write",
     READ_PATH: "read",
@@ -103,8 +103,9 @@
 DRAINING = "draining"
 REPLICA_STATES = frozenset(("ready", DRAINING))
 
-# Seconds without an event after which callers leave a stream: the longest of
-# these, with the objective and the declared pause times these factors.
+# Abandon timeout: seconds without an event after which callers abandon a
+# stream. It is the maximum of the first value, the objective times the second
+# and the declared pause times the third.
 MIN_ABANDON_TIMEOUT_SECONDS = 2.0
 ABANDON_TIMEOUT_OBJECTIVES = 4.0
 ABANDON_TIMEOUT_PAUSES = 8.0
