--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -1,4 +1,4 @@
-"""The client of replicas: requests, prompts to be read, orders, reports."""
+"""The client of replicas: requests, prefills, orders and reports."""
 
 import contextlib
 import re
@@ -11,10 +11,10 @@
 from gypsumfold.platform import decoding
 from gypsumfold.platform import names
 
-# Header fields of an answer that are not passed on beside those of the
-# connection: the length is set anew.
+# Header fields of an answer that are not forwarded: those of the connection,
+# and the length, which is set anew.
 NOT_FORWARDED = names.HOP_BY_HOP | {b"content-length"}
-# Seconds that a replica states in its Keep-Alive header.
+# Matches the timeout in seconds in a replica's Keep-Alive header.
 KEEP_ALIVE_PATTERN = re.compile(rb"timeout\s*=\s*(\d+)")
 
 
@@ -29,7 +29,7 @@
         self.pool = pool
 
     def is_connected(self, replica: types.Replica) -> bool:
-        """Whether a call would find a connection open."""
+        """Whether a connection to the replica is open."""
         return self.pool.is_connected(replica)
 
     async def send(
@@ -46,7 +46,7 @@
         """
         fields = list(call.fields)
         if instructions.last_event:
-            # The caller's own names an earlier event, where it has resumed.
+            # If the caller has resumed, its own field names an earlier event.
             fields = remove_field(fields, names.LAST_EVENT)
         fields += instruction_fields(replica, instructions)
         answer = await self.exchange(
@@ -81,12 +81,12 @@
         call: types.Call,
         instructions: types.Instructions,
     ) -> types.Handle:
-        """Has a prompt read and its KV cache kept.
+        """Has an engine prefill a prompt and keep its KV cache.
 
         Raises:
-            exceptions.EndpointRefused: The engine did not take it.
+            exceptions.EndpointRefused: The engine refused it.
             exceptions.EndpointNotStarted: It cannot be reached.
-            exceptions.AnswerBroken: It is not known what became of it.
+            exceptions.AnswerBroken: Its result is unknown.
         """
         answer = await self.send(replica, call, instructions)
         try:
@@ -106,10 +106,10 @@
         )
 
     async def drop(self, replica: types.Replica, handle: types.Handle) -> None:
-        """Frees a KV cache that nobody will take.
+        """Frees a KV cache that no engine will use.
 
         Raises:
-            exceptions.EndpointError: It could not be said to the engine.
+            exceptions.EndpointError: The engine could not be reached.
         """
         path = names.HANDLE_PATH + handle.id
         await self.ask(replica, "DELETE", path)
@@ -118,8 +118,8 @@
         """Asks an engine for its state.
 
         Raises:
-            exceptions.EndpointError: It does not say.
-            exceptions.RecordInvalid: Its answer cannot be read.
+            exceptions.EndpointError: The engine does not report it.
+            exceptions.RecordInvalid: The answer is malformed.
         """
         status, body = await self.ask(replica, "GET", names.REPORT_PATH)
         if status == 421:
@@ -129,11 +129,11 @@
         return decoding.decode_state(body)
 
     async def cache_list(self, replica: types.Replica) -> types.CacheList:
-        """Asks an engine which parts of prompts it keeps.
+        """Asks an engine which prefix blocks it has cached.
 
         Raises:
-            exceptions.EndpointError: It does not say.
-            exceptions.RecordInvalid: Its answer cannot be read.
+            exceptions.EndpointError: The engine does not report it.
+            exceptions.RecordInvalid: The answer is malformed.
         """
         status, body = await self.ask(replica, "GET", names.CACHE_LIST_PATH)
         if status != 200:
@@ -141,11 +141,11 @@
         return decoding.decode_cache_list(body)
 
     async def order(self, replica: types.Replica, order: types.Order) -> bool:
-        """Gives an order; False if it holds already.
+        """Sends an order; returns False if it is in effect already.
 
         Raises:
             exceptions.OrderRefused: The engine will not carry it out.
-            exceptions.EndpointError: It is not known what became of it.
+            exceptions.EndpointError: Its result is unknown.
         """
         body = decoding.encode_order(order)
         status, _ = await self.ask(replica, "POST", names.ORDER_PATH, body)
@@ -160,7 +160,7 @@
         path: str,
         body: bytes | None = None,
     ) -> tuple[int, bytes]:
-        """Makes a call that is no caller's; returns status and body."""
+        """Makes a call of the node's own; returns status and body."""
         fields = [
             (b"Host", replica.address.encode()),
             (names.EXPECTED_INSTANCE.encode(), replica.instance.encode()),
@@ -203,7 +203,7 @@
 def remove_field(
     fields: list[tuple[bytes, bytes]], name: str
 ) -> list[tuple[bytes, bytes]]:
-    """Header fields but for those of one name."""
+    """Returns the header fields except those of one name."""
     key = name.lower().encode()
     return [field for field in fields if field[0].lower() != key]
 
@@ -211,7 +211,7 @@
 def instruction_fields(
     replica: types.Replica, instructions: types.Instructions
 ) -> list[tuple[bytes, bytes]]:
-    """The header fields that a node adds to a caller's request."""
+    """Returns the header fields that a node adds to a caller's request."""
     found = [
         (names.EXPECTED_INSTANCE, replica.instance),
         (names.TIME_LEFT, str(max(1, int(instructions.time_left * 1000)))),
@@ -231,7 +231,7 @@
 
 
 def parse_idle_timeout(value: bytes) -> float:
-    """Seconds for which a connection may be kept, from its header."""
+    """Returns the idle timeout of a connection from its Keep-Alive header."""
     found = KEEP_ALIVE_PATTERN.search(value)
     if found is None:
         return connections.IDLE_TIMEOUT_SECONDS
