--- a/packages/gypsumfold/src/gypsumfold/platform/store.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/store.py
@@ -11,15 +11,16 @@
 from gypsumfold import exceptions
 from gypsumfold.platform import names
 
-# Seconds that a call may take beyond what the store was asked to wait: it
-# answers in 4 ms, and in a fifth of a second when it is fifty times slower.
+# Seconds that a call may take beyond the time that the store was asked to wait.
+# The store answers in 4 ms, and in 0.2 s when it is fifty times slower.
 CALL_MARGIN_SECONDS = 0.8
-# Seconds for which an idle connection is kept: longer than between two calls
-# that are made once a second, and no longer, as it may fall silent meanwhile.
+# Seconds for which an idle connection is kept: longer than the interval of
+# calls that are made once a second, but not much longer, since an idle
+# connection may stop responding unnoticed.
 IDLE_TIMEOUT_SECONDS = 1.5
-# Kilobytes of one read: all registrations of 2,900 replicas are less.
+# Size limit of one read; the registrations of 2,900 replicas fit in it.
 MAX_READ_KB = 1024
-# Records of a page of newest records, at most.
+# Precedes the records of a page: the topic's end and its first offset.
 PAGE_HEADER = struct.Struct(">QQ")
 RECORD_LENGTH = struct.Struct(">I")
 
@@ -29,8 +30,9 @@
 
     Attributes:
         key: Its key.
-        value: Its value; empty where the key was dropped.
-        offset: Its place in the log; later ones replace earlier ones.
+        value: Its value; empty if the key was deleted.
+        offset: Its position in the log; later records of a key replace earlier
+            ones.
     """
 
     key: str
@@ -39,10 +41,10 @@
 
 
 class Page(NamedTuple):
-    """Records that were read.
+    """Result of one read.
 
     Attributes:
-        records: In the log's order.
+        records: In log order.
         end: The offset of the next record to read.
     """
 
@@ -51,7 +53,7 @@
 
 
 class Membership(NamedTuple):
-    """A member's place in a group.
+    """A member's share of a group.
 
     Attributes:
         generation: Increases with each change of the group.
@@ -63,7 +65,7 @@
 
 
 class HistoryLost(exceptions.PlatformError):
-    """The records asked for were deleted; read the newest instead."""
+    """The requested records were deleted; read the newest ones instead."""
 
 
 class NewestItem(msgspec.Struct):
@@ -90,10 +92,10 @@
 
 
 class CallTrace:
-    """What is known of the connection of one call.
+    """State of the connection of one call.
 
     Attributes:
-        connection: "no" before there is one, then "new" or "kept".
+        connection: "no" until there is one, then "new" or "kept" (reused).
     """
 
     def __init__(self):
@@ -113,7 +115,7 @@
 
 
 def connection_trace() -> aiohttp.TraceConfig:
-    """Makes sessions tell each `CallTrace` which connection a call uses."""
+    """Returns a trace that sets the connection of each `CallTrace`."""
     trace = aiohttp.TraceConfig()
     trace.on_connection_create_start.append(_on_connecting)
     trace.on_connection_create_end.append(_on_connected)
@@ -122,7 +124,7 @@
 
 
 class Store:
-    """Calls to the store, each with a time limit of its own.
+    """Calls to the store, each with its own timeout.
 
     >>> store = Store("10.200.1.7:8142")
     >>> page = await store.newest(names.CONFIGURATION_TOPIC)
@@ -138,19 +140,20 @@
             ),
             trace_configs=[connection_trace()],
         )
-        # Calls by what they ask for, failed ones included.
+        # Number of calls by name, including failed ones.
         self.calls: collections.Counter[str] = collections.Counter()
         self.readers: list[Store] = []
 
     def reader(self, margin: float) -> "Store":
-        """Makes a client for the reads of one topic.
+        """Creates a client for the reads of one topic.
 
-        It shares no connection: a pool would hand out one that went silent
-        while it was idle, after a read on another one had just been answered.
+        It shares no connections: a pool could hand out a connection that
+        stopped responding while it was idle, just after a read on another
+        connection was answered.
 
         Args:
-            margin: Seconds that a call may take beyond what the store was
-                asked to wait.
+            margin: Seconds that a call may take beyond the time that the
+                store was asked to wait.
         """
         found = Store(self.address)
         found.margin = margin
@@ -169,7 +172,7 @@
 
         Raises:
             exceptions.LogUnavailable: The store does not answer.
-            exceptions.RecordInvalid: The answer cannot be read.
+            exceptions.RecordInvalid: The answer is malformed.
         """
         records = []
         end = None
@@ -180,8 +183,8 @@
                 query["after"] = after
             body = await self.call("GET", names.NEWEST_PATH, query)
             page = _decode(body, NewestPage)
-            # Later pages may hold newer records; what came since the first
-            # one is read again from the log.
+            # Later pages may hold newer records; records since the first page
+            # are read again from the log.
             end = page.end if end is None else min(end, page.end)
             for item in page.items:
                 value = base64.b64decode(item.value)
@@ -191,17 +194,17 @@
             after = page.items[-1].key
 
     async def read(self, topic: str, start: int, wait: float) -> Page:
-        """Reads a keyed topic from an offset on; waits for a record.
+        """Reads a keyed topic from an offset on; waits for a record if needed.
 
         Args:
             topic: The topic.
-            start: Offset of the first record wanted.
-            wait: Seconds to wait for it; the page may be empty then.
+            start: Offset of the first record to read.
+            wait: Seconds to wait for it; after that the page may be empty.
 
         Raises:
             HistoryLost: The offset was deleted, or lies beyond the topic's end.
             exceptions.LogUnavailable: The store does not answer.
-            exceptions.RecordInvalid: A record cannot be read or is missing.
+            exceptions.RecordInvalid: A record is malformed or missing.
         """
         query = {
             "topic": topic,
@@ -212,7 +215,7 @@
         }
         body = await self.call("GET", names.READ_PATH, query, wait=wait)
         if len(body) < PAGE_HEADER.size:
-            raise exceptions.RecordInvalid("a page without its offsets")
+            raise exceptions.RecordInvalid("the page has no offsets")
         records = []
         position = PAGE_HEADER.size
         while position < len(body):
@@ -227,7 +230,7 @@
         return Page(records, start + len(records))
 
     async def put(self, topic: str, key: str, value: bytes) -> None:
-        """Writes a key of a keyed topic; an empty value drops it.
+        """Writes a key of a keyed topic; an empty value deletes it.
 
         Raises:
             exceptions.LogUnavailable: It may or may not have been written.
@@ -246,14 +249,14 @@
         session_timeout: float,
         generation: int,
     ) -> Membership:
-        """Joins a group or stays in it.
+        """Joins a group or renews the membership.
 
         Args:
             group: The group.
             member: This member's name.
-            topic: The topic whose partitions are shared out.
+            topic: The topic whose partitions are divided among members.
             session_timeout: Seconds until a silent member is removed.
-            generation: The last one received; 0 at first.
+            generation: The last generation received; 0 at first.
 
         Raises:
             exceptions.LogUnavailable: The store does not answer.
@@ -290,9 +293,9 @@
         """Makes one call.
 
         Raises:
-            HistoryLost: The store no longer has what was asked for.
-            exceptions.ConnectionLost: A kept connection did not answer.
-            exceptions.LogUnavailable: It refused, failed or was silent.
+            HistoryLost: The store has deleted the requested records.
+            exceptions.ConnectionLost: A reused connection did not answer.
+            exceptions.LogUnavailable: The store refused, failed or timed out.
         """
         self.calls[names.STORE_CALL_NAMES[path]] += 1
         limit = aiohttp.ClientTimeout(total=wait + self.margin)
@@ -324,7 +327,7 @@
 
 
 def _decode_record(body: bytes, position: int) -> tuple[Record, int]:
-    """Reads the record at a place; returns it and the place after it."""
+    """Decodes the record at a position; returns it and the next position."""
     if position + RECORD_LENGTH.size >= len(body):
         raise exceptions.RecordInvalid("a record is cut off")
     (length,) = RECORD_LENGTH.unpack_from(body, position)
