--- a/packages/gypsumfold/src/gypsumfold/logservice/batches.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/batches.py
@@ -1,8 +1,8 @@
-"""Appends the records of many requests to the log, a batch at a time.
+"""Appends the records of many requests to the log in batches.
 
-Answers the load of a burst of keyed calls: the log takes several hundred
-appends a second for the whole fleet. Without batching, each claim is one
-append, and six nodes are over that at a hundred calls a second each.
+The log takes several hundred appends a second from the whole fleet. Without
+batching, each claim is one append, and six nodes exceed that limit at a hundred
+keyed calls a second each.
 """
 
 import asyncio
@@ -14,32 +14,32 @@
 from gypsumfold.logservice import logs
 from gypsumfold.logservice import records
 
-# Seconds from one append of a node to the next. A record that finds the
-# batcher idle goes at once; so this adds latency under load only. Six nodes
-# make at most 300 appends a second, within "several hundred" with room for
-# the other streams (bench/RESULTS-calls.md).
+# Minimum time between two appends of a node. An idle batcher sends a record at
+# once, so this adds latency under load only. Six nodes make at most 300 appends
+# a second, which leaves capacity for the other streams within the log's
+# "several hundred" (bench/RESULTS-calls.md).
 APPEND_INTERVAL_SECONDS = 0.02
-# Seconds after a refused append, plus up to as much again at random, so
-# that six nodes do not return in step.
+# Delay after a failed append, plus up to as much again at random, so that six
+# nodes do not retry at the same time.
 BACKOFF_SECONDS = 0.05
-# Bytes of JSON around a batch and around each record in it, at the most.
+# Upper bound of the JSON bytes around a batch and around each record in it.
 FRAME_BYTES = 64
-# Most records of one batch, so that no burst holds the event loop for long.
+# Limits a batch so that no burst blocks the event loop for long.
 MAX_BATCH_RECORDS = 512
-# Most records that wait; an outage must not fill the memory.
+# Limits the queue so that an outage does not fill the memory.
 MAX_WAITING = 20_000
 
 
 class PendingRecord:
-    """One record on its way to the log.
+    """One record that waits to be appended.
 
     Attributes:
         record: Of a registered type.
         size: Bytes on the log.
-        future: Done with the offset.
-        flying: Whether an append with it is being made.
-        lost: Whether the answer to an append with it was lost.
-        withdrawn: Whether it is no longer to be appended.
+        future: Set to the offset.
+        in_flight: Whether an append with it is in progress.
+        answer_lost: Whether the answer to an append with it was lost.
+        withdrawn: Whether it must not be appended any more.
     """
 
     def __init__(self, record: tuple):
@@ -54,13 +54,13 @@
 
 
 class Batcher:
-    """Appends records to one stream, in order, many in one append.
+    """Appends records to one stream in order, many in one append.
 
-    A batch whose answer is lost is appended again; records must be such
-    that a doubled one changes nothing.
+    A batch whose answer is lost is appended again, so records must be
+    idempotent.
 
     >>> batcher = Batcher(log, records.CLAIMS)
-    >>> offset = await batcher.append(claim, patience=1.0)
+    >>> offset = await batcher.append(claim, timeout=1.0)
     """
 
     def __init__(
@@ -78,10 +78,10 @@
         self.wake = asyncio.Event()
 
     def enqueue(self, record: tuple) -> PendingRecord:
-        """Appends a record as soon as the log takes it.
+        """Queues a record to be appended as soon as the log takes it.
 
         Raises:
-            exceptions.LogUnavailable: Too many wait already.
+            exceptions.LogUnavailable: Too many records are waiting.
         """
         if len(self.waiting) >= MAX_WAITING:
             raise exceptions.LogUnavailable("too many records wait")
@@ -91,7 +91,7 @@
         return item
 
     async def append(self, record: tuple, timeout: float) -> int:
-        """Appends a record within some seconds and returns its offset.
+        """Appends a record within a timeout in seconds; returns its offset.
 
         Raises:
             exceptions.LogUnavailable: It was not appended and will not be.
@@ -99,7 +99,7 @@
         """
         item = self.enqueue(record)
         try:
-            # Not wait_for: Python 3.11's may lose a cancellation.
+            # wait_for may lose a cancellation in Python 3.11.
             async with asyncio.timeout(timeout):
                 return await asyncio.shield(item.future)
         except TimeoutError as error:
@@ -124,7 +124,7 @@
             await asyncio.sleep(max(0.0, due - time.monotonic()))
 
     def next_batch(self) -> list[PendingRecord]:
-        """Takes the records of the next append; they stay in the queue."""
+        """Returns the records of the next append; they stay in the queue."""
         kept = [item for item in self.waiting if not item.withdrawn]
         self.waiting = collections.deque(kept)
         batch = []
@@ -137,7 +137,7 @@
         return batch
 
     async def send(self, batch: list[PendingRecord]) -> bool:
-        """Makes one append and says whether it is known to be in effect."""
+        """Makes one append; returns whether it is known to have succeeded."""
         for item in batch:
             item.in_flight = True
         try:
@@ -160,7 +160,7 @@
         return True
 
     async def flush(self, timeout: float) -> None:
-        """Waits until nothing is left to append, some seconds at most."""
+        """Waits until the queue is empty, at most `timeout` seconds."""
         pending = [i.future for i in self.waiting if not i.withdrawn]
         if pending:
             await asyncio.wait(pending, timeout=timeout)
