--- a/packages/gypsumfold/src/gypsumfold/logservice/logs.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/logs.py
@@ -1,4 +1,4 @@
-"""The platform's append-only log: its client, and the tail of a stream."""
+"""The client of the platform's append-only log, and a reader of streams."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,19 +16,19 @@
 from gypsumfold import settings as settings_module
 from gypsumfold.logservice import records
 
-# Seconds for which a read may wait at the log for the next record; below
-# the client's time limit (settings.platform.timeout, 2 s by default).
+# Time that a read waits in the log for the next record; below the client's
+# timeout (settings.platform.timeout, 2 s by default).
 READ_WAIT_SECONDS = 1.0
-# Seconds between two tries to read a log that is down, plus up to as much
-# again at random, so that six nodes do not return in step.
+# Delay until a failed read is retried, plus up to as much again at random, so
+# that six nodes do not retry at the same time.
 READ_RETRY_SECONDS = 0.25
 
 
 class Page(NamedTuple):
-    """What one read gives.
+    """Result of one read.
 
     Attributes:
-        first: The lowest offset that the log still keeps.
+        first: The lowest offset that the log still has.
         end: One above the highest offset.
         entries: In order of offset.
     """
@@ -50,7 +50,7 @@
         """
 
     async def read(self, stream: str, start: int, wait: float) -> Page:
-        """Reads from an offset on, waiting up to some seconds for more.
+        """Reads from an offset on; waits some seconds for a record if needed.
 
         Raises:
             exceptions.LogUnavailable: The log does not answer.
@@ -135,10 +135,10 @@
 
 
 def decode_entry(stream: str, wire: _WireEntry) -> records.Entry:
-    """Decodes an entry; one that cannot be read counts as empty.
+    """Decodes an entry; a malformed one is returned without records.
 
-    All nodes skip it alike. To wait for it instead would stall the stream
-    on every node for as long as the log keeps it.
+    All nodes skip it in the same way. Retrying it instead would block the
+    stream on every node for as long as the log keeps the entry.
     """
     try:
         decoded = records.decode(wire.body.encode())
@@ -154,21 +154,21 @@
 
 
 class Tail:
-    """Follows one stream and hands each entry to its subscribers, in order.
+    """Follows one stream and passes each entry to its subscribers in order.
 
     Attributes:
-        next: The offset that is read next.
-        caught_up: Set once the end was reached for the first time.
+        next_offset: The offset to read next.
+        caught_up: Set once the end is reached for the first time.
         healthy: Whether the last read was answered.
-        heard: When the last answered read was sent, by `clocks.now`; 0
-            before it.
-        end: One above the highest offset that the last answer named.
-        ends: Called when the stream's end was read, with the time
-            (`clocks.now`) at which it was asked for.
+        last_seen: When the last answered read was sent, by `clocks.now`; 0
+            before the first answer.
+        end: One above the highest offset in the last answer.
+        end_listeners: Called when the stream's end is read, with the time
+            (`clocks.now`) at which the read was sent.
 
     >>> tail = Tail(log, records.CLAIMS)
     >>> tail.subscribe(claims.apply)
-    >>> await tail.reached(offset)  # one's own append is read back
+    >>> await tail.wait_until_delivered(offset)  # own append is read back
     """
 
     def __init__(
@@ -196,26 +196,27 @@
         entry: Callable[[records.Entry], Any],
         gap: Callable[[int, int], Any] | None = None,
     ) -> None:
-        """Adds a subscriber; to be called before `run`.
+        """Adds a subscriber; must be called before `run`.
 
         Args:
             entry: Called with each entry, in order of offset.
-            gap: Called with (wanted, first kept) where the log has already
-                dropped what was to be read next.
+            gap: Called with the offset to read next and the first one that
+                the log still has, if the log has deleted entries between.
         """
         self.subscribers.append(entry)
         if gap is not None:
             self.gap_listeners.append(gap)
 
     async def wait_until_delivered(self, offset: int) -> None:
-        """Waits until the entry at an offset was handed out."""
+        """Waits until the entry at an offset is delivered to subscribers."""
         async with self.advanced:
             await self.advanced.wait_for(lambda: self.next_offset > offset)
 
     async def run(self) -> None:
         """Reads for as long as the node runs."""
         while True:
-            # A starting node asks at once whether it has reached the end.
+            # A starting node does not wait: it must know at once whether it
+            # has reached the end.
             wait = self.wait if self.caught_up.is_set() else 0.0
             asked = clocks.now()
             try:
@@ -224,8 +225,8 @@
                 self.set_health(False, repr(error))
                 await asyncio.sleep(READ_RETRY_SECONDS * (1 + random.random()))
                 continue
-            # An answer that was read after a pause of this process may be
-            # old, but not older than its question.
+            # An answer that is read after this process was paused may be
+            # old, but not older than its request.
             self.last_seen = asked
             self.set_health(True, "")
             await self.deliver(page)
@@ -235,7 +236,7 @@
                 end(asked)
 
     async def deliver(self, page: Page) -> None:
-        """Hands a page's entries out and wakes those who wait for them."""
+        """Passes a page's entries to subscribers and wakes waiting tasks."""
         self.end = page.end
         if page.first > self.next_offset:
             for gap in self.gap_listeners:
@@ -254,7 +255,7 @@
                 self.advanced.notify_all()
 
     def set_health(self, healthy: bool, reason: str) -> None:
-        """Notes whether the log answers, with an event at each turn."""
+        """Records whether the log answers and logs an event on each change."""
         if healthy == self.healthy:
             return
         self.healthy = healthy
