--- a/packages/gypsumfold/src/gypsumfold/logservice/records.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/records.py
@@ -1,7 +1,7 @@
-"""Records on the log: typed, encoded as ``["kind", [fields...]]`` in JSON.
+"""Typed records on the log, encoded as ``["kind", [fields...]]`` in JSON.
 
-Each module that keeps records registers its own `NamedTuple` types. A field
-may be added at the end with a default; older records then still decode.
+Each module registers its own `NamedTuple` types. A field may be added at the
+end with a default, so that older records still decode.
 """
 
 from typing import Any
@@ -17,8 +17,8 @@
 CLAIMS = "claims"
 BURN = "burn"
 
-# One append carries one batch. The log service refuses larger ones; it is
-# declared in the platform's interface (docs/PROTOCOLS.md).
+# One append carries one batch, and the log service refuses larger ones
+# (the platform's interface, docs/PROTOCOLS.md).
 MAX_BATCH_BYTES = 256 * 1024
 
 Record = TypeVar("Record", bound=type[tuple])
@@ -28,14 +28,14 @@
 
 
 class Entry(NamedTuple):
-    """One batch of records as the log holds it.
+    """One batch of records on the log.
 
     Attributes:
-        offset: Its place in the stream, from 0, without gaps.
-        time: When the log took it, in seconds since the epoch by the log's
-            own clock.
-        records: Its records; a kind that this version does not know is
-            left out.
+        offset: Its position in the stream, from 0, without gaps.
+        time: When the log appended it, in seconds since the epoch by the
+            log's own clock.
+        records: Its records, without those of kinds that this version does
+            not know.
     """
 
     offset: int
@@ -44,10 +44,10 @@
 
 
 def register(kind: str):
-    """Names a `NamedTuple` type on the log.
+    """Registers a `NamedTuple` type under its name on the log.
 
     Args:
-        kind: The name; never used again for another type.
+        kind: The name; it must never be reused for another type.
 
     Returns:
         A class decorator.
@@ -78,13 +78,13 @@
     """Decodes one batch.
 
     Args:
-        body: What `encode` gave, perhaps by another version.
+        body: Output of `encode`, possibly of another version.
 
     Returns:
-        The records whose kinds are known here.
+        The records of registered kinds.
 
     Raises:
-        exceptions.RecordInvalid: It is no batch of records.
+        exceptions.RecordInvalid: It is not a batch of records.
     """
     found = []
     try:
