--- a/packages/gypsumfold/src/gypsumfold/logservice/vms.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/vms.py
@@ -1,4 +1,4 @@
-"""The platform's lagging list of VMs."""
+"""The platform's list of VMs, which lags behind the VMs' actual state."""
 
 from typing import NamedTuple
 from typing import Protocol
@@ -14,10 +14,10 @@
     """One VM as the platform lists it.
 
     Attributes:
-        name: Unique while it lives.
-        address: Its IP number.
-        data_centre: Where it stands.
-        state: ``live`` or ``leaving``; one that has gone is not listed.
+        name: Unique among the VMs that exist.
+        address: Its IP address.
+        data_centre: Its data centre.
+        state: ``live`` or ``leaving``; a removed VM is not listed.
         purpose: ``entry`` or ``endpoint``.
     """
 
@@ -29,20 +29,20 @@
 
 
 class VMList(NamedTuple):
-    """The list, and when the platform made it (seconds since the epoch)."""
+    """The list, and when the platform created it (seconds since the epoch)."""
 
     stamped: float
     vms: tuple[VM, ...]
 
 
 class VMSource(Protocol):
-    """Where the list comes from."""
+    """Source of the VM list."""
 
     async def fetch(self) -> VMList:
         """Reads the list.
 
         Raises:
-            exceptions.VMListUnavailable: It cannot be read.
+            exceptions.VMListUnavailable: The list cannot be read.
         """
 
 
@@ -52,7 +52,7 @@
 
 
 class HTTPVMs:
-    """The list over HTTP (docs/PROTOCOLS.md).
+    """The VM list over HTTP (docs/PROTOCOLS.md).
 
     >>> (await HTTPVMs(settings.platform, session).fetch()).vms
     """
