--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -1,4 +1,4 @@
-"""One authenticated connection between two nodes, carrying calls."""
+"""An authenticated connection between two nodes that carries calls."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -14,10 +14,11 @@
 
 thrift = framing.peers_thrift
 
-# Directions of frames, as signed: from the connecting side, and back.
+# Signed directions of frames: from the connecting side, and back.
 FROM_CLIENT = b"c"
 FROM_SERVER = b"s"
-# Calls of one peer that are served at once; more wait in its connection.
+# Calls of one peer that are served concurrently; more wait unread in its
+# connection.
 CONCURRENT_CALLS = 256
 
 
@@ -53,10 +54,10 @@
         context: ssl.SSLContext | None = None,
         local: str | None = None,
     ) -> "Channel":
-        """Connects to a peer, from this node's address if it is given.
+        """Connects to a peer, from the local address if one is given.
 
         Raises:
-            exceptions.PeerUnreachable: It does not answer in time.
+            exceptions.PeerUnreachable: The peer does not answer in time.
         """
         try:
             async with asyncio.timeout(timeout):
@@ -84,7 +85,7 @@
         writer: asyncio.StreamWriter,
         secret: bytes,
     ) -> "Channel":
-        """Takes a connection in and sends its nonce."""
+        """Accepts a connection and sends its nonce."""
         enable_keepalive(writer)
         nonce = secrets.token_bytes(framing.NONCE_BYTES)
         writer.write(nonce)
@@ -104,7 +105,7 @@
         """Reads one envelope.
 
         Raises:
-            exceptions.FrameInvalid: The frame is not acceptable.
+            exceptions.FrameInvalid: The frame is invalid or not authentic.
             exceptions.PeerUnreachable: The connection has ended.
         """
         try:
@@ -119,7 +120,7 @@
     async def call(
         self, name: str, message, reply_type: type, timeout: float
     ) -> Any:
-        """Makes one call; needs `run_client` beside it.
+        """Makes one call; `run_client` must run concurrently.
 
         Args:
             name: The method.
@@ -139,8 +140,8 @@
         body = framing.encode(message)
         self.send(thrift.Envelope(call_id, thrift.Kind.CALL, name, body))
         try:
-            # Python 3.11's wait_for drops a cancellation that comes in the
-            # same instant as the reply (python/cpython issue 86296).
+            # wait_for of Python 3.11 loses a cancellation that arrives together
+            # with the reply (python/cpython issue 86296).
             async with asyncio.timeout(timeout):
                 envelope = await future
         except TimeoutError as error:
@@ -152,10 +153,10 @@
         return framing.decode(reply_type, envelope.body)
 
     async def run_client(self) -> None:
-        """Hands replies to those who wait, until the connection ends.
+        """Passes replies to the waiting calls until the connection ends.
 
         Raises:
-            exceptions.PeerError: Why it ended.
+            exceptions.PeerError: The connection ended.
         """
         try:
             while True:
@@ -174,7 +175,7 @@
             serve: Makes the reply envelope of a call envelope.
 
         Raises:
-            exceptions.PeerError: Why it ended.
+            exceptions.PeerError: The connection ended.
         """
         slots = asyncio.Semaphore(CONCURRENT_CALLS)
         running: set[asyncio.Task] = set()
@@ -209,5 +210,5 @@
 
 
 def enable_keepalive(writer: asyncio.StreamWriter) -> None:
-    """Sets keepalive and the user timeout on a connection."""
+    """Sets TCP keepalive and the TCP user timeout on a connection."""
     connections.guard(writer.get_extra_info("socket"))
