--- a/packages/gypsumfold/src/gypsumfold/peers/framing.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/framing.py
@@ -1,9 +1,9 @@
-"""Frames between nodes: bounded and authentic before they are decoded.
+"""Frames between nodes, checked for size and authenticity before decoding.
 
-thriftpy2's Cython binary decoder believes the lengths that it reads: a
-frame of 7 bytes that claims a string of 2 GiB makes it allocate 2 GiB. So
-the HMAC (RFC 2104, SHA-256) and the size are checked first, and the decoder
-only ever sees what a holder of the secret has written.
+thriftpy2's Cython binary decoder trusts the lengths that it reads: a frame of
+7 bytes that claims a string of 2 GiB makes it allocate 2 GiB. Therefore the
+size and the HMAC (RFC 2104, SHA-256) are checked first, and the decoder only
+processes what a holder of the secret has written.
 """
 
 import hashlib
@@ -25,8 +25,8 @@
 NONCE_BYTES = 16
 # Bytes of one HMAC-SHA-256.
 MAC_BYTES = hashlib.sha256().digest_size
-# Largest frame in bytes. Calls are small; replies carry configuration, of
-# which one batch on the log has 256 KiB at the most.
+# Largest frames. Calls are small; replies carry configuration, and a batch of
+# it on the log has up to 256 KiB.
 MAX_CALL_BYTES = 64 * 1024
 MAX_REPLY_BYTES = 1024 * 1024
 
@@ -38,12 +38,12 @@
 class Signer:
     """Signs or checks the frames of one direction of one connection.
 
-    The nonce and a sequence number are signed too, so that a frame cannot
-    be repeated, reordered or sent back.
+    The signature covers the nonce, the direction and a sequence number, so that
+    a frame cannot be replayed, reordered or reflected.
 
     >>> sender = Signer(b"secret", nonce, b"c")
     >>> receiver = Signer(b"secret", nonce, b"c")
-    >>> receiver.open(sender.seal(b"payload"))
+    >>> receiver.verify(sender.make_frame(b"payload"))
     b'payload'
     """
 
@@ -63,7 +63,7 @@
         return digest
 
     def make_frame(self, payload: bytes) -> bytes:
-        """Makes a frame of a payload."""
+        """Signs a payload and returns its frame."""
         body = self.mac(payload) + payload
         return _LENGTH.pack(len(body)) + body
 
@@ -71,7 +71,7 @@
         """Checks a frame, without its length, and returns its payload.
 
         Raises:
-            exceptions.FrameInvalid: It is not authentic.
+            exceptions.FrameInvalid: The frame is not authentic.
         """
         given = body[:MAC_BYTES]
         payload = body[MAC_BYTES:]
@@ -85,10 +85,10 @@
 
     Args:
         header: 4 bytes.
-        limit: Most bytes that the frame may have.
+        limit: Maximum frame size in bytes.
 
     Raises:
-        exceptions.FrameInvalid: It is too short or too long.
+        exceptions.FrameInvalid: The frame is too short or too long.
     """
     (length,) = _LENGTH.unpack(header)
     if length < MAC_BYTES or length > limit:
@@ -105,10 +105,10 @@
     """Decodes a thrift struct from authenticated bytes.
 
     Raises:
-        exceptions.FrameInvalid: It is not of this type.
+        exceptions.FrameInvalid: The payload is not of this type.
     """
     try:
         return utils.deserialize(message_type(), payload, _PROTOCOL)
     except Exception as error:
-        # thriftpy2 raises whatever the malformed bytes lead it to.
+        # thriftpy2 raises arbitrary exceptions for malformed bytes.
         raise exceptions.FrameInvalid(repr(error)) from error
