--- a/packages/gypsumfold/src/gypsumfold/peers/links.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/links.py
@@ -1,4 +1,4 @@
-"""Membership and calls between nodes: one task for each peer."""
+"""Heartbeats and calls between nodes, with one task for each peer."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -17,25 +17,25 @@
 
 thrift = framing.peers_thrift
 
-# Heartbeats without a reply until a fresh connection is tried, as a
-# multiple of the interval; one lost packet is retransmitted within it.
+# Heartbeat intervals without a reply until a new connection is made; a lost
+# packet is retransmitted within this time.
 MAX_MISSED_HEARTBEATS = 3
 
 
 class Peer(NamedTuple):
-    """What a peer last said of itself.
+    """The last reported state of a peer.
 
     Attributes:
-        address: Its IP number.
+        address: Its IP address.
         node: Its name.
-        incarnation: New at each start of its process.
-        data_centre: Where it stands.
-        revision: Its configuration; -1 for none.
-        stopping: Whether it is in its graceful shutdown.
-        heard: Monotonic time at which it was last heard.
-        answered: When the last heartbeat was sent to it that it answered,
-            by `clocks.now`. What is read after this process was paused may
-            be old; an answer cannot be older than its question.
+        incarnation: Differs for each start of its process.
+        data_centre: Its data centre.
+        revision: Revision of its configuration; -1 for none.
+        stopping: Whether it is shutting down gracefully.
+        last_seen: Monotonic time at which its state was last received.
+        last_answered: When the last heartbeat that it answered was sent, by
+            `clocks.now`. A message that is read after this process was paused
+            may be old, but an answer is not older than its request.
     """
 
     address: str
@@ -54,7 +54,7 @@
 
 
 class Peers:
-    """The other nodes: who they are, and calls to and from them.
+    """The other nodes: their states, and calls to and from them.
 
     >>> peers = Peers(settings, describe)
     >>> peers.handle("config.pull", thrift.ConfigPull, pull)
@@ -66,11 +66,11 @@
         settings: settings_module.Settings,
         describe: Callable[[], Any],
     ):
-        """Prepares; `serve` and `sync` start it.
+        """Creates it without connections; `serve` and `sync` start it.
 
         Args:
-            settings: Of the node.
-            describe: Gives this node's `thrift.Heartbeat`.
+            settings: Settings of the node.
+            describe: Returns this node's `thrift.Heartbeat`.
         """
         self.settings = settings.peers
         self.address = settings.node.address
@@ -92,18 +92,18 @@
         request_type: type,
         function: Callable[[Any, str], Awaitable[Any]],
     ) -> None:
-        """Names the function that serves a call.
+        """Registers the function that serves a method.
 
         Args:
             name: The method.
             request_type: The thrift type of its message.
-            function: Gets the message and the caller's IP number and
+            function: Takes the message and the caller's IP address and
                 returns the thrift struct of the reply.
         """
         self.handlers[name] = _Handler(request_type, function)
 
     def recently_seen(self) -> list[Peer]:
-        """Lists the peers that were heard of within the last intervals."""
+        """Lists the peers whose state was received in the last intervals."""
         horizon = (
             time.monotonic()
             - 2 * MAX_MISSED_HEARTBEATS * self.settings.heartbeat
@@ -118,7 +118,7 @@
         reply_type: type,
         timeout: float = 1.0,
     ) -> Any:
-        """Calls a peer, over a fresh connection if there is none.
+        """Calls a peer, over a new connection if none is open.
 
         Raises:
             exceptions.PeerUnreachable: No reply in time.
@@ -147,10 +147,10 @@
         )
 
     def sync(self, addresses: set[str]) -> None:
-        """Keeps one link to each of these peers and ends the others.
+        """Keeps one link to each of these peers and closes all others.
 
         Args:
-            addresses: IP numbers; this node's own is left out.
+            addresses: IP addresses; this node's own is ignored.
         """
         wanted = addresses - {self.address}
         for address in list(self.links):
@@ -166,7 +166,7 @@
             )
 
     async def keep_connected(self, address: str) -> None:
-        """Keeps a connection to one peer, with heartbeats on it."""
+        """Keeps a connection to one peer and sends heartbeats on it."""
         failures = 0
         while True:
             try:
@@ -176,7 +176,7 @@
                 await self.send_heartbeats(address, channel)
             except exceptions.PeerError as error:
                 failures += 1
-                # The first failure may be the connection's alone.
+                # The first failure may concern only the connection.
                 if failures == 2:
                     events.log(
                         events.PEER_LOST, peer=address, reason=repr(error)
@@ -186,7 +186,7 @@
 
     @property
     def reply_timeout(self) -> float:
-        """Seconds without a reply until a connection is given up."""
+        """Seconds without a reply until a connection is closed."""
         return MAX_MISSED_HEARTBEATS * self.settings.heartbeat
 
     async def send_heartbeats(
@@ -217,7 +217,7 @@
             reader.cancel()
 
     def record_state(self, message, answered: float = 0.0) -> None:
-        """Takes in what a peer says of itself, in the order it said it."""
+        """Records a peer's state; its revision decreases only on a restart."""
         revision = message.revision
         before = self.by_address.get(message.address)
         if before and before.incarnation == message.incarnation:
@@ -240,7 +240,7 @@
         return self.describe()
 
     async def serve(self) -> None:
-        """Starts to listen for peers."""
+        """Starts the server for connections of peers."""
         self.server = await asyncio.start_server(
             self.accept,
             self.address,
@@ -274,7 +274,7 @@
             return
 
     async def answer(self, envelope, address: str):
-        """Makes the reply of one call."""
+        """Serves one call and returns its reply."""
         handler = self.handlers.get(envelope.name)
         self.serving += 1
         try:
@@ -294,7 +294,7 @@
         )
 
     async def close(self) -> None:
-        """Ends all links and stops to listen."""
+        """Closes all links and stops the server."""
         tasks = [*self.links.values(), *self.accepted]
         self.links.clear()
         if self.server is not None:
@@ -305,7 +305,7 @@
 
 
 async def receive_replies(channel: channels.Channel) -> None:
-    """Runs a channel's reader; calls in progress learn of its end."""
+    """Runs a channel's reader; calls in progress fail when it ends."""
     try:
         await channel.run_client()
     except exceptions.PeerError:
