--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -1,8 +1,8 @@
-"""Spreads the configuration between nodes and keeps it on the log.
+"""Replicates the configuration between nodes and publishes its snapshots.
 
-The tail of the log is the first way. Heartbeats name each node's revision,
-and a node that is behind pulls from a peer; so a change that was accepted
-arrives everywhere though the log goes down at once.
+Nodes normally read the configuration from the log. Heartbeats also carry each
+node's revision, and a node that is behind pulls from a peer, so an accepted
+change reaches all nodes even if the log fails right after it.
 """
 
 import asyncio
@@ -25,39 +25,41 @@
 
 thrift = framing.peers_thrift
 
-# Seconds between two looks at what peers say; a tenth of the default
-# heartbeat, so that it adds little to the time until a pull.
+# Interval of the checks of peers' revisions; a tenth of the default heartbeat
+# interval, so that it adds little to the time until a pull.
 CHECK_INTERVAL_SECONDS = 0.05
-# Seconds after which the last look counts no more: the process was paused,
-# and what it knew may be old.
+# Seconds after which the last check no longer counts: the process was paused,
+# and its state may be stale.
 CHECK_EXPIRY_SECONDS = 1.0
-# Seconds for one pull: a page of at most half a frame between neighbours.
+# Timeout of one pull: a page of at most half a frame over a short distance.
 PULL_TIMEOUT_SECONDS = 2.0
-# Bytes of entries or of a snapshot in one reply; a single batch on the log
-# has at most 256 KiB, and both together fit `framing.REPLY_LIMIT`.
+# Entries or snapshot data in one reply. A single batch on the log has at most
+# 256 KiB, and both together fit into `framing.MAX_REPLY_BYTES`.
 MAX_PAGE_BYTES = 512 * 1024
 # Entries of one page of the log (docs/PROTOCOLS.md).
 LOG_PAGE_ENTRIES = 512
-# Pages that a starting node reads backwards from the log's end in search of
-# a snapshot. One is due after `snapshots.REPUBLISH_ENTRIES`, two pages.
+# Pages that a starting node reads backwards from the log's end to find a
+# snapshot. One is due after `snapshots.REPUBLISH_ENTRIES`, which is two pages.
 MAX_SEEK_PAGES = 4
-# Share of the log's retention between two looks whether a snapshot is due.
+# Interval of the checks whether a snapshot is due, as a fraction of the log's
+# retention.
 SNAPSHOT_CHECK_FRACTION = 0.02
-# Seconds between these looks at the most.
+# Upper limit of this interval.
 MAX_SNAPSHOT_CHECK_SECONDS = 60.0
-# The share of the due time by which each further node waits longer, and how
-# many nodes do: if the first cannot reach the log, the next one publishes.
-# The fourth still does so at 0.25 * (1 + 3 * 0.5) = 0.63 of the retention.
+# Fraction of the due time by which each further node waits longer, and the
+# number of nodes to which this applies: if the first cannot reach the log, the
+# next one publishes. The fourth does so at 0.25 * (1 + 3 * 0.5) = 0.63 of the
+# retention, still in time.
 RANK_DELAY_FRACTION = 0.5
 MAX_RANK = 3
 
 
 class Replication:
-    """Keeps a node's configuration level with the log and its peers.
+    """Keeps a node's configuration up to date with the log and its peers.
 
     >>> replication = Replication(settings, configuration, tail, peers,
     ...                           publisher, incarnation)
-    >>> replication.fresh()
+    >>> replication.is_fresh()
     True
     """
 
@@ -84,29 +86,29 @@
         configuration.restored = log_restored
 
     def is_fresh(self) -> bool:
-        """Whether the node knows the configuration well enough to serve."""
+        """Whether the node's configuration is fresh enough to serve."""
         if clocks.now() - self.checked_at > CHECK_EXPIRY_SECONDS:
             return False
         return self.freshness.fresh
 
     def revision(self) -> int:
-        """The revision that this node may vouch for; -1 for none yet."""
+        """Returns the revision to report to peers; -1 until it is settled."""
         return self.configuration.revision if self.freshness.settled else -1
 
     def has_read_log(self) -> bool:
-        """Whether all up to the log's end, as last read, took its place."""
+        """Whether all entries up to the log's last known end are applied."""
         if not self.tail.caught_up.is_set():
             return False
         return self.configuration.position >= self.tail.end - 1
 
     async def run(self) -> None:
-        """Follows the log and the peers for as long as the node runs."""
+        """Checks freshness against log and peers as long as the node runs."""
         while True:
             self.check_freshness()
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     async def run_tail(self) -> None:
-        """Follows the log, from its newest snapshot on if there is one."""
+        """Follows the log, starting at its newest snapshot if there is one."""
         if self.configuration.position < 0:
             try:
                 await self.seek_snapshot()
@@ -115,10 +117,10 @@
         await self.tail.run()
 
     async def seek_snapshot(self) -> None:
-        """Reads the log backwards until a snapshot bridges the rest.
+        """Reads the log backwards until it finds a snapshot to start from.
 
-        If none does, the tail reads from the first record, and what was
-        read here takes its place when it is reached.
+        If there is none, the tail reads from the first record, and the entries
+        read here are applied when the tail reaches them.
 
         Raises:
             exceptions.PlatformError: The log cannot be read.
@@ -138,7 +140,7 @@
                 return
 
     async def run_pulls(self) -> None:
-        """Pulls from a peer whenever one is ahead."""
+        """Pulls from a peer whenever one has newer configuration."""
         while True:
             sources = self.sources()
             if sources:
@@ -146,7 +148,7 @@
             await asyncio.sleep(CHECK_INTERVAL_SECONDS)
 
     def check_freshness(self) -> None:
-        """Decides anew whether this node's configuration is fresh."""
+        """Checks whether this node's configuration is fresh."""
         peers = []
         for peer in self.peers.recently_seen():
             peers.append(
@@ -164,7 +166,7 @@
         self.freshness.update(view, self.checked_at)
 
     def sources(self) -> list[str]:
-        """Lists the peers that know what this node does not."""
+        """Lists the peers that have configuration which this node lacks."""
         gap = self.configuration.position < self.tail.next_offset - 1
         found = []
         for peer in self.peers.recently_seen():
@@ -175,7 +177,7 @@
         return found
 
     async def try_pull(self, address: str) -> None:
-        """Pulls once; a failure is left to the next look."""
+        """Pulls once; a failed pull is retried at the next check."""
         try:
             await self.pull(address)
         except (exceptions.PeerError, exceptions.RecordInvalid) as error:
@@ -184,11 +186,11 @@
             )
 
     async def pull(self, address: str) -> None:
-        """Pulls what a peer has beyond this node's position.
+        """Pulls the entries of a peer after this node's position.
 
         Raises:
             exceptions.PeerError: The peer does not answer.
-            exceptions.RecordInvalid: Its snapshot fits no known type.
+            exceptions.RecordInvalid: An entry or the snapshot is malformed.
         """
         page = await self.request_page(address, -1, 0)
         if page.snapshot >= 0:
@@ -201,7 +203,7 @@
             )
 
     async def pull_snapshot(self, address: str, page) -> None:
-        """Pulls the other parts of a snapshot and takes it over."""
+        """Pulls the other parts of a snapshot and restores it."""
         body = page.body
         for part in range(1, page.parts):
             further = await self.request_page(address, page.snapshot, part)
@@ -211,7 +213,7 @@
         self.configuration.restore(snapshots.decode(body))
 
     async def request_page(self, address: str, snapshot: int, part: int):
-        """Makes one call to a peer."""
+        """Requests entries or one part of a snapshot from a peer."""
         start = self.configuration.position + 1
         return await self.peers.call(
             address,
@@ -222,7 +224,7 @@
         )
 
     async def serve(self, message, address: str):
-        """Answers a peer's pull by entries or by a part of a snapshot."""
+        """Answers a peer's pull with entries or with a part of a snapshot."""
         if (
             message.snapshot >= 0
             and message.snapshot == self.served_snapshot[0]
@@ -244,14 +246,14 @@
         return thrift.ConfigPage(page, -1, 0, b"")
 
     def snapshot_page(self, part: int):
-        """Makes the reply with one part of the snapshot that is served."""
+        """Returns the reply with one part of the served snapshot."""
         offset, body = self.served_snapshot
         parts = -(-len(body) // MAX_PAGE_BYTES)
         piece = body[part * MAX_PAGE_BYTES : (part + 1) * MAX_PAGE_BYTES]
         return thrift.ConfigPage([], offset, parts, piece)
 
     async def run_snapshots(self) -> None:
-        """Publishes a snapshot whenever one is due from this node."""
+        """Publishes a snapshot whenever this node is due to publish one."""
         retention = self.settings.platform.retention
         pause = min(
             retention * SNAPSHOT_CHECK_FRACTION, MAX_SNAPSHOT_CHECK_SECONDS
@@ -271,7 +273,7 @@
             events.log(events.SNAPSHOT_PUBLISHED, offset=offset)
 
     def rank(self) -> int:
-        """Counts the peers that come before this node in publishing."""
+        """Counts the peers that publish snapshots before this node."""
         before = 0
         for peer in self.peers.recently_seen():
             if peer.incarnation < self.incarnation:
@@ -280,7 +282,7 @@
 
 
 def log_outcome(outcome: changes.Outcome) -> None:
-    """Writes the event of one change."""
+    """Logs the event of one change."""
     if outcome.accepted:
         events.log(
             events.CONFIG_APPLIED,
@@ -297,7 +299,7 @@
 
 
 def log_restored(snapshot: snapshots.Snapshot) -> None:
-    """Writes the event of a snapshot that was taken over."""
+    """Logs the event of a restored snapshot."""
     events.log(
         events.CONFIG_RESTORED,
         revision=snapshot.revision,
