--- a/packages/gypsumfold/src/gypsumfold/logservice/__init__.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/__init__.py
@@ -1,1 +1,1 @@
-"""The log, the VM list and the weight store behind Protocols."""
+"""Clients of the platform's log and VM list, and their Protocols."""
--- a/packages/gypsumfold/src/gypsumfold/peers/__init__.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Node to node: thrift messages, framing, heartbeats, digests."""
+"""Communication between nodes: thrift messages, framing and heartbeats."""
--- a/packages/gypsumfold/src/gypsumfold/peers/peers.thrift
+++ b/packages/gypsumfold/src/gypsumfold/peers/peers.thrift
@@ -6,23 +6,23 @@
 struct Envelope {
   1: required i64 call;
   2: required Kind kind;
-  /** Of a call: the method. Of a failure: the type's name. */
+  /** The method of a call; the exception type's name of a failure. */
   3: required string name;
   4: required binary body;
 }
 
-/** First call on a connection, and the heartbeat after it. */
+/** The first call on a connection and all later heartbeats, and their reply. */
 struct Heartbeat {
   1: required string node;
   2: required string incarnation;
   3: required string address;
   4: required string data_centre;
-  /** Offset of the last change of configuration in force; -1 for none. */
+  /** Offset of the last configuration change in effect; -1 for none. */
   5: required i64 revision;
   6: required bool stopping;
 }
 
-/** What callers ask of one service on one node, a second, served or not. */
+/** Demand for one service on one node per second, served or not. */
 struct Demand {
   1: required string service_name;
   2: required double prompt_tokens;
@@ -30,14 +30,14 @@
   4: required i32 waiting;
 }
 
-/** Tokens of one account at one service on one node, over the last seconds. */
+/** Token rate of one account at one service on one node in recent seconds. */
 struct AccountUse {
   1: required string account;
   2: required double tokens_per_second;
   3: required string service_name;
 }
 
-/** Of bounded size: at most 64 services and 32 accounts. */
+/** Load of a node, bounded to at most 64 services and 32 accounts. */
 struct Digest {
   1: required string incarnation;
   2: required i64 sequence;
@@ -45,10 +45,10 @@
   4: required list<AccountUse> hottest;
 }
 
-/** Asks for the configuration from an offset of the log on. */
+/** Requests the configuration from an offset of the log on. */
 struct ConfigPull {
   1: required i64 start;
-  /** The snapshot whose next part is wanted; -1 for none. */
+  /** Offset of the snapshot to continue with; -1 for none. */
   2: required i64 snapshot;
   3: required i32 part;
 }
@@ -63,35 +63,35 @@
 /** Either entries in order, or one part of a snapshot. */
 struct ConfigPage {
   1: required list<ConfigEntry> entries;
-  /** Offset that the snapshot names; -1 where entries are sent. */
+  /** Offset of the snapshot; -1 if entries are sent. */
   2: required i64 snapshot;
   3: required i32 parts;
   4: required binary body;
 }
 
-/** A closed engine and the offset of its closing. */
+/** A closed engine and the log offset at which it was closed. */
 struct ClosedEngine {
   1: required string engine;
   2: required i64 offset;
 }
 
-/** What a node knows of closed engines, for others' permissions. */
+/** The closed engines that a node knows, for other nodes' permissions. */
 struct ClosedEngines {
-  /** Whether it has read the stream `control` to its end since it started. */
+  /** Whether the node has read stream `control` to its end since its start. */
   1: required bool caught_up;
-  /** It has read the stream up to this offset. */
+  /** The offset up to which the node has read the stream. */
   2: required i64 through;
   3: required list<ClosedEngine> closed;
 }
 
-/** Dispatches to an engine that are in progress on a node. */
+/** Number of dispatches to an engine in progress on a node. */
 struct Dispatching {
   1: required i32 count;
 }
 
 struct Nothing {}
 
-/** Asks the node that made a claim how its call stands. */
+/** Asks the node that made a claim for the state of its call. */
 struct ClaimQuestion {
   1: required string claim;
   2: required string account;
@@ -109,7 +109,7 @@
   7: optional double retry_after;
 }
 
-/** What the node that made a claim knows of it. */
+/** State of a claim on the node that made it. */
 struct ClaimState {
   /** Whether the node knows the claim. */
   1: required bool known;
