--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -72,7 +72,7 @@
     def outcome(self, change_id: str) -> changes.Outcome | None:
         """Returns what became of a change; None where it is not known.
 
-        Outcomes are kept for `changes.ID_AGE` seconds of the log's time.
+        Outcomes are kept for `changes.MAX_ID_AGE_SECONDS` of the log's time.
         """
         return self.outcomes.get(change_id)
 
