--- a/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/policy_scheduler.py
@@ -30,7 +30,7 @@
 # Interval between two reviews of all waiting requests; reports arrive as often.
 REVIEW_INTERVAL_SECONDS = 0.25
 # Refusal reasons sent to callers.
-OVER_LIMIT = "the account exceeds its limit of tokens per second"
+OVER_LIMIT = "the account uses more tokens a second than it may"
 TOO_LATE = "the answer would come after its deadline"
 TOO_MANY = "too many requests wait"
 ALL_CLOSED = "no replica is open for this request"
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -216,7 +216,7 @@
                         "no decode engine is available"
                     )
                 raise exceptions.Unavailable(
-                    "no decode engine is available",
+                    "no engine generates",
                     outcomes.Outcome.NOT_RUN,
                     decision.retry_after,
                 )
--- a/packages/gypsumfold/src/gypsumfold/gateway/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/progress.py
@@ -78,7 +78,7 @@
                 outcomes.Outcome.UNDETERMINED,
             )
         return exceptions.Unavailable(
-            "no replica has free capacity",
+            "no replica has room",
             outcomes.Outcome.NOT_RUN,
             min(RETRY_AFTER_SECONDS, max(0.0, self.time_left() / 3)),
         )
