--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -13,7 +13,7 @@
 
 # Keepalive probes: first after 2 s of silence, then each second, three of
 # them (Linux tcp(7)); a dead connection shows after about 5 s.
-KEEPALIVE_IDLE = 2
+KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL = 1
 KEEPALIVE_COUNT = 3
 # Milliseconds that sent bytes may stay unacknowledged (RFC 5482); the
@@ -51,7 +51,7 @@
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
-    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE)
+    sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL)
     sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
