--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -15,7 +15,7 @@
 # them (Linux tcp(7)); a dead connection shows after about 5 s.
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL_SECONDS = 1
-KEEPALIVE_COUNT = 3
+KEEPALIVE_PROBES = 3
 # Milliseconds that sent bytes may stay unacknowledged (RFC 5482); the
 # quarantine of settings.control must be longer.
 USER_TIMEOUT = 5000
@@ -53,7 +53,7 @@
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
-    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_COUNT)
+    sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
 
 
