--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -18,7 +18,7 @@
 KEEPALIVE_PROBES = 3
 # Milliseconds that sent bytes may stay unacknowledged (RFC 5482); the
 # quarantine of settings.control must be longer.
-USER_TIMEOUT = 5000
+USER_TIMEOUT_MS = 5000
 # Lets a socket that is bound to the node's address before it connects choose
 # its port when it connects, so that ports are counted per destination
 # (Linux ip(7); the socket module of Python 3.11 does not name it).
@@ -54,7 +54,7 @@
     sock.setsockopt(tcp, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
     sock.setsockopt(tcp, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
     sock.setsockopt(tcp, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT)
+    sock.setsockopt(tcp, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
 
 
 class Sessions(NamedTuple):
