--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -25,7 +25,7 @@
 BIND_ADDRESS_NO_PORT = 24
 # Seconds that an idle connection is kept for the next request. Below the
 # common 15 s of servers, so that the endpoint seldom closes first.
-POOL_KEEPALIVE = 10.0
+POOL_KEEPALIVE_SECONDS = 10.0
 
 
 def guarded_socket(address_info) -> socket.socket:
@@ -93,7 +93,7 @@
     pooled = aiohttp.TCPConnector(
         limit=0,
         local_addr=local,
-        keepalive_timeout=POOL_KEEPALIVE,
+        keepalive_timeout=POOL_KEEPALIVE_SECONDS,
         socket_factory=guarded_socket,
     )
     fresh = aiohttp.TCPConnector(
