--- a/packages/gypsumfold/src/gypsumfold/control/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/control/sending.py
@@ -78,7 +78,7 @@
 
     def socket(self, address_info) -> socket.socket:
         """Creates a socket whose sent bytes don't outlive the quarantine."""
-        sock = connections.guarded_socket(address_info)
+        sock = connections.create_socket(address_info)
         seconds = self.settings.control.quarantine * USER_TIMEOUT_SHARE
         sock.setsockopt(
             socket.IPPROTO_TCP,
--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -28,7 +28,7 @@
 POOL_KEEPALIVE_SECONDS = 10.0
 
 
-def guarded_socket(address_info) -> socket.socket:
+def create_socket(address_info) -> socket.socket:
     """Makes a TCP socket with keepalive and a user timeout.
 
     Args:
@@ -94,13 +94,13 @@
         limit=0,
         local_addr=local,
         keepalive_timeout=POOL_KEEPALIVE_SECONDS,
-        socket_factory=guarded_socket,
+        socket_factory=create_socket,
     )
     fresh = aiohttp.TCPConnector(
         limit=0,
         local_addr=local,
         force_close=True,
-        socket_factory=guarded_socket,
+        socket_factory=create_socket,
     )
     return Sessions(
         aiohttp.ClientSession(connector=pooled, timeout=timeout),
