--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -39,14 +39,14 @@
     """
     family, kind, protocol, _, _ = address_info
     sock = socket.socket(family, kind, protocol)
-    guard(sock)
+    configure_socket(sock)
     if family == socket.AF_INET:
         sock.setsockopt(socket.IPPROTO_IP, BIND_ADDRESS_NO_PORT, 1)
     sock.setblocking(False)
     return sock
 
 
-def guard(sock: socket.socket) -> None:
+def configure_socket(sock: socket.socket) -> None:
     """Sets keepalive and the user timeout on a TCP socket."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -211,4 +211,4 @@
 
 def enable_keepalive(writer: asyncio.StreamWriter) -> None:
     """Sets TCP keepalive and the TCP user timeout on a connection."""
-    connections.guard(writer.get_extra_info("socket"))
+    connections.configure_socket(writer.get_extra_info("socket"))
