--- a/features/steps/services_steps.py
+++ b/features/steps/services_steps.py
@@ -123,7 +123,7 @@
     """Sends calls one after the other and gives the last one's end."""
     server = await asyncio.start_server(replica.serve, "127.0.0.1", 0)
     replica.port = server.sockets[0].getsockname()[1]
-    sessions = connections.sessions(SETTINGS)
+    sessions = connections.create_sessions(SETTINGS)
     client = services.ServiceClient(
         f"127.0.0.1:{replica.port}", sessions, SETTINGS.endpoints
     )
--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -74,7 +74,7 @@
         await self.fresh.close()
 
 
-def sessions(settings: settings_module.Settings) -> Sessions:
+def create_sessions(settings: settings_module.Settings) -> Sessions:
     """Makes the HTTP clients of a node.
 
     They connect from the node's own address, so that the other end and all
--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -71,7 +71,7 @@
         self.callers = callers_server.Server(self)
         self.front: web.AppRunner | None = None
         self.metrics = metrics.Metrics(settings.metrics)
-        self.sessions = connections.sessions(settings)
+        self.sessions = connections.create_sessions(settings)
         session = self.sessions.pooled
         self.log = logs.HTTPLog(settings.platform, session)
         self.tails = {
