--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -66,12 +66,12 @@
     """
 
     pooled: aiohttp.ClientSession
-    fresh: aiohttp.ClientSession
+    unpooled: aiohttp.ClientSession
 
     async def close(self) -> None:
         """Closes all connections."""
         await self.pooled.close()
-        await self.fresh.close()
+        await self.unpooled.close()
 
 
 def create_sessions(settings: settings_module.Settings) -> Sessions:
--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -111,7 +111,7 @@
             exceptions.EndpointFailed: The engine itself does not answer.
         """
         try:
-            return await self.fetch_load(self.sessions.fresh)
+            return await self.fetch_load(self.sessions.unpooled)
         except exceptions.EndpointError as error:
             raise exceptions.EndpointFailed(str(error)) from error
 
@@ -165,7 +165,7 @@
             exceptions.EndpointNotStarted: The engine does not know it.
             exceptions.StreamBroken: The stream ended or went wrong.
         """
-        request = self.sessions.fresh.get(
+        request = self.sessions.unpooled.get(
             f"{self.base}/dispatches/{dispatch_id}",
             params={"from": str(index)},
         )
--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -139,7 +139,9 @@
                 raise
         # Only the pooled connection may have failed; a new one tells.
         sending = Body(body, permit, end)
-        return await self.send(self.sessions.fresh, name, sending, dispatch_id)
+        return await self.send(
+            self.sessions.unpooled, name, sending, dispatch_id
+        )
 
     async def send(
         self,
