--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -96,7 +96,7 @@
         keepalive_timeout=POOL_KEEPALIVE_SECONDS,
         socket_factory=create_socket,
     )
-    fresh = aiohttp.TCPConnector(
+    unpooled = aiohttp.TCPConnector(
         limit=0,
         local_addr=local,
         force_close=True,
@@ -104,7 +104,7 @@
     )
     return Sessions(
         aiohttp.ClientSession(connector=pooled, timeout=timeout),
-        aiohttp.ClientSession(connector=fresh, timeout=timeout),
+        aiohttp.ClientSession(connector=unpooled, timeout=timeout),
     )
 
 
