--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -114,7 +114,7 @@
 async def fetch(
     session: aiohttp.ClientSession,
     url: str,
-    report: type[Report],
+    report_type: type[Report],
     limit: float,
 ) -> Report:
     """Asks an endpoint for a small report about itself.
@@ -134,7 +134,7 @@
     try:
         async with asyncio.timeout(limit), session.get(url) as answer:
             content = await answer.read()
-        return msgspec.json.decode(content, type=report)
+        return msgspec.json.decode(content, type=report_type)
     except (
         aiohttp.ClientError,
         TimeoutError,
