--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -62,7 +62,7 @@
 
     Attributes:
         pooled: Keeps connections for the next request.
-        fresh: Opens a connection for each request.
+        unpooled: Opens a connection for each request.
     """
 
     pooled: aiohttp.ClientSession
@@ -115,15 +115,15 @@
     session: aiohttp.ClientSession,
     url: str,
     report_type: type[Report],
-    limit: float,
+    timeout: float,
 ) -> Report:
     """Asks an endpoint for a small report about itself.
 
     Args:
         session: Pooled or fresh.
         url: Of the report.
-        report: The type of its JSON.
-        limit: Seconds for all of it.
+        report_type: The type of its JSON.
+        timeout: Seconds for all of it.
 
     Returns:
         The report.
@@ -132,7 +132,7 @@
         exceptions.EndpointError: It does not answer in time, or not so.
     """
     try:
-        async with asyncio.timeout(limit), session.get(url) as answer:
+        async with asyncio.timeout(timeout), session.get(url) as answer:
             content = await answer.read()
         return msgspec.json.decode(content, type=report_type)
     except (
