--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -111,7 +111,7 @@
 Report = TypeVar("Report")
 
 
-async def fetch(
+async def fetch_report(
     session: aiohttp.ClientSession,
     url: str,
     report_type: type[Report],
--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -119,7 +119,7 @@
         """Asks for the load report; see `load`."""
         limit = self.settings.connect_timeout
         url = f"{self.base}/load"
-        return await connections.fetch(session, url, Load, limit)
+        return await connections.fetch_report(session, url, Load, limit)
 
     async def start(self, dispatch: Dispatch) -> AsyncIterator[tokens.Item]:
         """Starts a dispatch and yields its tokens, then its finish.
--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -101,7 +101,7 @@
         limit = self.settings.connect_timeout
         url = f"{self.base}/health"
         pooled = self.sessions.pooled
-        return await connections.fetch(pooled, url, Health, limit)
+        return await connections.fetch_report(pooled, url, Health, limit)
 
     async def call(
         self,
