--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -18,7 +18,7 @@
 NOT_STARTED_STATUSES = (404, 429, 503)
 
 # Seconds that an engine may take to close a body after its end marker.
-DRAIN_TIMEOUT = 0.5
+DRAIN_TIMEOUT_SECONDS = 0.5
 
 
 class Dispatch(msgspec.Struct):
@@ -242,7 +242,7 @@
 async def _drain(response: aiohttp.ClientResponse) -> None:
     """Reads to the end of a response that is whole, so it can be pooled."""
     try:
-        async with asyncio.timeout(DRAIN_TIMEOUT):
+        async with asyncio.timeout(DRAIN_TIMEOUT_SECONDS):
             extra = await response.content.read(1)
     except (aiohttp.ClientError, TimeoutError):
         extra = b"?"
