--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -62,7 +62,7 @@
     cache_sequence: int = 0
     changing: bool = False
 
-    def moved_on(self, earlier: "Load") -> bool:
+    def has_changed_since(self, earlier: "Load") -> bool:
         """Whether the engine has done something since an earlier report."""
         figures = (self.running, self.waiting, self.prefill_tokens)
         before = (earlier.running, earlier.waiting, earlier.prefill_tokens)
