--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -90,7 +90,7 @@
         sessions: connections.Sessions,
         settings: settings_module.EndpointsSection,
     ):
-        self.base = f"http://{address}/v1"
+        self.base_url = f"http://{address}/v1"
         self.permit: permits.Permit = permits.Always()
         self.sessions = sessions
         self.settings = settings
@@ -118,7 +118,7 @@
     async def fetch_load(self, session: aiohttp.ClientSession) -> Load:
         """Asks for the load report; see `load`."""
         limit = self.settings.connect_timeout
-        url = f"{self.base}/load"
+        url = f"{self.base_url}/load"
         return await connections.fetch_report(session, url, Load, limit)
 
     async def start(self, dispatch: Dispatch) -> AsyncIterator[tokens.Item]:
@@ -135,7 +135,7 @@
         content = msgspec.json.encode(dispatch)
         body = permits.Body(self.permit, content)
         request = self.sessions.pooled.post(
-            f"{self.base}/dispatches",
+            f"{self.base_url}/dispatches",
             data=body.chunks(),
             headers={
                 "Content-Type": "application/json",
@@ -166,7 +166,7 @@
             exceptions.StreamBroken: The stream ended or went wrong.
         """
         request = self.sessions.unpooled.get(
-            f"{self.base}/dispatches/{dispatch_id}",
+            f"{self.base_url}/dispatches/{dispatch_id}",
             params={"from": str(index)},
         )
         async for item in self.follow(request, dispatch_id, index):
@@ -175,7 +175,7 @@
     async def cancel(self, dispatch_id: str) -> None:
         """Cancels a dispatch; a failure to do so is not reported."""
         limit = aiohttp.ClientTimeout(total=self.settings.connect_timeout)
-        url = f"{self.base}/dispatches/{dispatch_id}"
+        url = f"{self.base_url}/dispatches/{dispatch_id}"
         try:
             async with self.sessions.pooled.delete(
                 url, timeout=limit
