--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -240,7 +240,9 @@
                 raise exceptions.EndpointFailed(str(error)) from error
             except exceptions.StreamSilent:
                 before, report = report, await client.probe()
-                if client.heard > since or report.has_changed_since(before):
+                if client.last_received > since or report.has_changed_since(
+                    before
+                ):
                     continue
                 left -= 1
                 if not left:
--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -94,7 +94,7 @@
         self.permit: permits.Permit = permits.Always()
         self.sessions = sessions
         self.settings = settings
-        self.heard = float("-inf")
+        self.last_received = float("-inf")
 
     async def load(self) -> Load:
         """Asks for the load report.
@@ -234,7 +234,7 @@
                 raise exceptions.StreamBroken(repr(error)) from error
             if not data:
                 return
-            self.heard = time.monotonic()
+            self.last_received = time.monotonic()
             for event in parser.feed(data):
                 yield event
 
