--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -142,7 +142,7 @@
                 "Content-Length": str(len(content)),
             },
         )
-        stream = self.follow(request, dispatch.id, len(dispatch.prior))
+        stream = self.read_stream(request, dispatch.id, len(dispatch.prior))
         with self.permit.dispatch():
             try:
                 async for item in stream:
@@ -169,7 +169,7 @@
             f"{self.base_url}/dispatches/{dispatch_id}",
             params={"from": str(index)},
         )
-        async for item in self.follow(request, dispatch_id, index):
+        async for item in self.read_stream(request, dispatch_id, index):
             yield item
 
     async def cancel(self, dispatch_id: str) -> None:
@@ -184,7 +184,7 @@
         except (aiohttp.ClientError, TimeoutError):
             return
 
-    async def follow(
+    async def read_stream(
         self, request, dispatch_id: str, index: int
     ) -> AsyncIterator[tokens.Item]:
         """Reads one stream, checking each event; see `start`."""
