--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -204,7 +204,7 @@
             if response.status != 200:
                 raise exceptions.EndpointFailed(f"status {response.status}")
             check = tokens.Check(dispatch_id, index)
-            async for event in self.events(response):
+            async for event in self.read_events(response):
                 item = check.item(event)
                 if item is None:
                     break
@@ -219,7 +219,7 @@
             else:
                 response.close()
 
-    async def events(
+    async def read_events(
         self, response: aiohttp.ClientResponse
     ) -> AsyncIterator[sse.ServerEvent]:
         """Yields the events of a response, within the idle timeout."""
