--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -197,7 +197,7 @@
             raise exceptions.StreamSilent(repr(error)) from error
         except aiohttp.ClientError as error:
             raise exceptions.StreamBroken(repr(error)) from error
-        whole = False
+        is_complete = False
         try:
             if response.status in NOT_STARTED_STATUSES:
                 raise exceptions.EndpointNotStarted(f"status {response.status}")
@@ -210,11 +210,11 @@
                     break
                 yield item
             check.ended()
-            whole = True
+            is_complete = True
         finally:
             # Only a connection whose stream ended as it should is pooled:
             # on any other, bytes of this answer may still be on their way.
-            if whole:
+            if is_complete:
                 await _drain(response)
             else:
                 response.close()
