--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -18,7 +18,7 @@
 
 # Seconds after its last dispatch for which a node polls an endpoint often:
 # longer than the gaps in a steady load, shorter than those of the night.
-USED_FOR = 2.0
+IN_USE_SECONDS = 2.0
 # An endpoint to which a node sends nothing is polled this much less often.
 # A poll costs 0.39 ms (bench/slopes.py), at 4 a second and 9 endpoints more
 # than a node may spend on control; reports stay younger than a second.
@@ -141,7 +141,7 @@
 
     def pause(self, watched: Watched) -> float:
         """Gives the seconds until the next poll of an endpoint."""
-        if time.monotonic() - watched.used < USED_FOR:
+        if time.monotonic() - watched.used < IN_USE_SECONDS:
             return self.settings.poll
         return self.settings.poll * UNUSED_POLL
 
