--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -22,7 +22,7 @@
 # An endpoint to which a node sends nothing is polled this much less often.
 # A poll costs 0.39 ms (bench/slopes.py), at 4 a second and 9 endpoints more
 # than a node may spend on control; reports stay younger than a second.
-UNUSED_POLL = 3.0
+UNUSED_POLL_FACTOR = 3.0
 
 
 class Watched:
@@ -143,7 +143,7 @@
         """Gives the seconds until the next poll of an endpoint."""
         if time.monotonic() - watched.used < IN_USE_SECONDS:
             return self.settings.poll
-        return self.settings.poll * UNUSED_POLL
+        return self.settings.poll * UNUSED_POLL_FACTOR
 
     def used(self, name: str) -> None:
         """Notes that this node sends work to an endpoint."""
