--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -44,7 +44,7 @@
         self.declared = declared
         self.client = client
         self.load: engines.Load | services.Health | None = None
-        self.heard = float("-inf")
+        self.last_seen = float("-inf")
         self.used = float("-inf")
         self.vm_leaving = False
         self.permit: permits.Permit = permits.Always()
@@ -61,7 +61,7 @@
             return False
         if self.declared.drained or not self.permit.allows():
             return False
-        return now - self.heard <= silent_after
+        return now - self.last_seen <= silent_after
 
 
 class Fleet:
@@ -127,7 +127,7 @@
             try:
                 load = await watched.client.load()
             except exceptions.EndpointError:
-                gone = time.monotonic() - watched.heard
+                gone = time.monotonic() - watched.last_seen
                 if not silent and gone > self.settings.silent_after:
                     silent = True
                     events.log(events.ENDPOINT_SILENT, endpoint=watched.name)
@@ -165,7 +165,7 @@
         if load.leaving and not was_leaving:
             events.log(events.ENDPOINT_LEAVING, endpoint=watched.name)
         watched.load = load
-        watched.heard = asked
+        watched.last_seen = asked
 
     def suspect(self, name: str) -> None:
         """Gives an endpoint no work until it is heard of again.
@@ -174,7 +174,7 @@
             name: Of an endpoint that refused a connection or a dispatch.
         """
         if name in self.endpoints:
-            self.endpoints[name].heard = float("-inf")
+            self.endpoints[name].last_seen = float("-inf")
 
     def replicas(self, service: str) -> list[types.Replica]:
         """Lists the replicas of a service for a decision."""
--- a/packages/gypsumfold/src/gypsumfold/operators/live.py
+++ b/packages/gypsumfold/src/gypsumfold/operators/live.py
@@ -67,7 +67,7 @@
                 load.running if load else None,
                 engine.waiting if engine else None,
                 engine.kv_used if engine else None,
-                round(now - watched.heard, 3) if load else None,
+                round(now - watched.last_seen, 3) if load else None,
                 load.incarnation if load else None,
             )
         )
