--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -45,7 +45,7 @@
         self.client = client
         self.load: engines.Load | services.Health | None = None
         self.last_seen = float("-inf")
-        self.used = float("-inf")
+        self.last_used = float("-inf")
         self.vm_leaving = False
         self.permit: permits.Permit = permits.Always()
         self.task: asyncio.Task | None = None
@@ -141,14 +141,14 @@
 
     def pause(self, watched: Watched) -> float:
         """Gives the seconds until the next poll of an endpoint."""
-        if time.monotonic() - watched.used < IN_USE_SECONDS:
+        if time.monotonic() - watched.last_used < IN_USE_SECONDS:
             return self.settings.poll
         return self.settings.poll * UNUSED_POLL_FACTOR
 
     def used(self, name: str) -> None:
         """Notes that this node sends work to an endpoint."""
         if name in self.endpoints:
-            self.endpoints[name].used = time.monotonic()
+            self.endpoints[name].last_used = time.monotonic()
 
     def note(
         self,
