--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -25,7 +25,7 @@
 UNUSED_POLL_FACTOR = 3.0
 
 
-class Watched:
+class WatchedEndpoint:
     """One declared endpoint and what was last heard of it.
 
     Attributes:
@@ -82,7 +82,7 @@
         self.configuration = configuration
         self.sessions = sessions
         self.permissions: permissions.Permissions | None = None
-        self.endpoints: dict[str, Watched] = {}
+        self.endpoints: dict[str, WatchedEndpoint] = {}
 
     def sync(self) -> None:
         """Follows the configuration: starts and ends watching."""
@@ -112,14 +112,14 @@
         if service.protocol == "engine":
             kind = engines.EngineClient
         client = kind(endpoint.address, self.sessions, self.settings)
-        watched = Watched(name, endpoint, client)
+        watched = WatchedEndpoint(name, endpoint, client)
         if service.protocol == "engine" and self.permissions is not None:
             watched.permit = permissions.Permit(self.permissions, name)
             client.permit = watched.permit
         watched.task = asyncio.create_task(self.poll(watched))
         self.endpoints[name] = watched
 
-    async def poll(self, watched: Watched) -> None:
+    async def poll(self, watched: WatchedEndpoint) -> None:
         """Polls one endpoint for as long as it is declared."""
         silent = False
         while True:
@@ -139,7 +139,7 @@
             self.note(watched, load, asked)
             await asyncio.sleep(self.pause(watched))
 
-    def pause(self, watched: Watched) -> float:
+    def pause(self, watched: WatchedEndpoint) -> float:
         """Gives the seconds until the next poll of an endpoint."""
         if time.monotonic() - watched.last_used < IN_USE_SECONDS:
             return self.settings.poll
@@ -152,7 +152,7 @@
 
     def note(
         self,
-        watched: Watched,
+        watched: WatchedEndpoint,
         load: engines.Load | services.Health,
         asked: float,
     ) -> None:
@@ -186,7 +186,7 @@
             found.append(self.replica(watched, now))
         return found
 
-    def replica(self, watched: Watched, now: float) -> types.Replica:
+    def replica(self, watched: WatchedEndpoint, now: float) -> types.Replica:
         """Describes one endpoint for a decision.
 
         The report's time is moved from the endpoint's wall clock to this
--- a/packages/gypsumfold/src/gypsumfold/membership.py
+++ b/packages/gypsumfold/src/gypsumfold/membership.py
@@ -57,7 +57,7 @@
             self.note(watched, states)
 
     def note(
-        self, watched: fleet_module.Watched, states: dict[str, str]
+        self, watched: fleet_module.WatchedEndpoint, states: dict[str, str]
     ) -> None:
         """Notes whether an endpoint's VM leaves, with an event if it does.
 
