--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -155,7 +155,7 @@
                 if future is not None and not future.done():
                     future.set_exception(refusal(action))
                 continue
-            self.fleet.used(action.replica)
+            self.fleet.record_use(action.replica)
             grant = Grant(self, action.request, action.replica, action.prefill)
             if future is None or future.done():
                 grant.finish(types.Finish.CANCELLED)
--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -145,7 +145,7 @@
             return self.settings.poll
         return self.settings.poll * UNUSED_POLL_FACTOR
 
-    def used(self, name: str) -> None:
+    def record_use(self, name: str) -> None:
         """Notes that this node sends work to an endpoint."""
         if name in self.endpoints:
             self.endpoints[name].last_used = time.monotonic()
