--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -136,7 +136,7 @@
             if silent or watched.load is None:
                 events.log(events.ENDPOINT_HEARD, endpoint=watched.name)
             silent = False
-            self.note(watched, load, asked)
+            self.record_report(watched, load, asked)
             await asyncio.sleep(self.pause(watched))
 
     def pause(self, watched: WatchedEndpoint) -> float:
@@ -150,7 +150,7 @@
         if name in self.endpoints:
             self.endpoints[name].last_used = time.monotonic()
 
-    def note(
+    def record_report(
         self,
         watched: WatchedEndpoint,
         load: engines.Load | services.Health,
