--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -154,7 +154,7 @@
         self,
         watched: WatchedEndpoint,
         load: engines.Load | services.Health,
-        asked: float,
+        asked_at: float,
     ) -> None:
         """Takes a report in.
 
@@ -165,7 +165,7 @@
         if load.leaving and not was_leaving:
             events.log(events.ENDPOINT_LEAVING, endpoint=watched.name)
         watched.load = load
-        watched.last_seen = asked
+        watched.last_seen = asked_at
 
     def suspect(self, name: str) -> None:
         """Gives an endpoint no work until it is heard of again.
