--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -123,7 +123,7 @@
         """Polls one endpoint for as long as it is declared."""
         silent = False
         while True:
-            asked = time.monotonic()
+            asked_at = time.monotonic()
             try:
                 load = await watched.client.load()
             except exceptions.EndpointError:
@@ -136,7 +136,7 @@
             if silent or watched.load is None:
                 events.log(events.ENDPOINT_HEARD, endpoint=watched.name)
             silent = False
-            self.record_report(watched, load, asked)
+            self.record_report(watched, load, asked_at)
             await asyncio.sleep(self.pause(watched))
 
     def pause(self, watched: WatchedEndpoint) -> float:
