--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -127,8 +127,8 @@
             try:
                 load = await watched.client.load()
             except exceptions.EndpointError:
-                gone = time.monotonic() - watched.last_seen
-                if not silent and gone > self.settings.silent_after:
+                silence = time.monotonic() - watched.last_seen
+                if not silent and silence > self.settings.silent_after:
                     silent = True
                     events.log(events.ENDPOINT_SILENT, endpoint=watched.name)
                 await asyncio.sleep(self.pause(watched))
