--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -131,15 +131,15 @@
                 if not silent and silence > self.settings.silent_after:
                     silent = True
                     events.log(events.ENDPOINT_SILENT, endpoint=watched.name)
-                await asyncio.sleep(self.pause(watched))
+                await asyncio.sleep(self.poll_interval(watched))
                 continue
             if silent or watched.load is None:
                 events.log(events.ENDPOINT_HEARD, endpoint=watched.name)
             silent = False
             self.record_report(watched, load, asked_at)
-            await asyncio.sleep(self.pause(watched))
+            await asyncio.sleep(self.poll_interval(watched))
 
-    def pause(self, watched: WatchedEndpoint) -> float:
+    def poll_interval(self, watched: WatchedEndpoint) -> float:
         """Gives the seconds until the next poll of an endpoint."""
         if time.monotonic() - watched.last_used < IN_USE_SECONDS:
             return self.settings.poll
