--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -95,7 +95,7 @@
                 return
             except exceptions.EndpointNotStarted:
                 finish = types.Finish.NOT_STARTED
-                self.fleet.suspect(grant.replica)
+                self.fleet.suspend(grant.replica)
             except exceptions.EndpointError as error:
                 finish = types.Finish.FAILED
                 self.give_up_if_not_repeatable(error)
--- a/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
@@ -78,7 +78,7 @@
                 return await self.attempt(grant, order, permit)
             except exceptions.EndpointNotStarted as error:
                 failure = error
-                self.node.fleet.suspect(grant.replica)
+                self.node.fleet.suspend(grant.replica)
             except exceptions.EndpointError as error:
                 failure = error
                 sent = True
--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -167,7 +167,7 @@
         watched.load = load
         watched.last_seen = asked_at
 
-    def suspect(self, name: str) -> None:
+    def suspend(self, name: str) -> None:
         """Gives an endpoint no work until it is heard of again.
 
         Args:
