--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -89,7 +89,7 @@
         declared = self.configuration.all("endpoint")
         for name in list(self.endpoints):
             watched = self.endpoints[name]
-            if name in declared and same_place(
+            if name in declared and is_same_process(
                 watched.declared, declared[name]
             ):
                 watched.declared = declared[name]
@@ -227,6 +227,6 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-def same_place(one: objects.Endpoint, other: objects.Endpoint) -> bool:
+def is_same_process(one: objects.Endpoint, other: objects.Endpoint) -> bool:
     """Whether two declarations name the same process."""
     return (one.address, one.service) == (other.address, other.service)
