--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -91,7 +91,7 @@
         settings: settings_module.EndpointsSection,
     ):
         self.base_url = f"http://{address}/v1"
-        self.permit: permits.Permit = permits.Always()
+        self.permit: permits.Permit = permits.AlwaysAllowed()
         self.sessions = sessions
         self.settings = settings
         self.last_received = float("-inf")
--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -47,7 +47,7 @@
         self.last_seen = float("-inf")
         self.last_used = float("-inf")
         self.vm_leaving = False
-        self.permit: permits.Permit = permits.Always()
+        self.permit: permits.Permit = permits.AlwaysAllowed()
         self.task: asyncio.Task | None = None
 
     def is_open(self, now: float, silent_after: float) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
@@ -24,7 +24,7 @@
         """Counts a dispatch for as long as it is in progress."""
 
 
-class Always:
+class AlwaysAllowed:
     """Where nothing is ever closed."""
 
     def allows(self) -> bool:
