--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -133,7 +133,7 @@
         """
         self.permit.check()
         content = msgspec.json.encode(dispatch)
-        body = permits.Body(self.permit, content)
+        body = permits.DispatchBody(self.permit, content)
         request = self.sessions.pooled.post(
             f"{self.base_url}/dispatches",
             data=body.chunks(),
--- a/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
@@ -39,7 +39,7 @@
         return contextlib.nullcontext()
 
 
-class Body:
+class DispatchBody:
     """A dispatch's bytes, given out if the permit holds as they are sent."""
 
     def __init__(self, permit: Permit, content: bytes):
