--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -60,7 +60,7 @@
         """
         super().__init__(content)
         self.permit = permit
-        self.end = end
+        self.deadline = end
         self.patience: asyncio.Timeout | None = None
         self.sent = False
         self.over = False
@@ -70,7 +70,7 @@
         late = self.over or self.sent or self.patience.expired()
         if late or not self.permit():
             raise exceptions.EndpointNotStarted("no longer to be sent")
-        self.patience.reschedule(self.end)
+        self.patience.reschedule(self.deadline)
         self.sent = True
         await super().write_with_length(writer, content_length)
 
@@ -153,7 +153,7 @@
         """Makes one try on one connection; see `call`."""
         now = asyncio.get_running_loop().time()
         limit = now + self.settings.connect_timeout
-        sending.patience = asyncio.timeout_at(min(limit, sending.end))
+        sending.patience = asyncio.timeout_at(min(limit, sending.deadline))
         try:
             async with sending.patience:
                 return await self.exchange(session, name, sending, dispatch_id)
