--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -61,16 +61,16 @@
         super().__init__(content)
         self.permit = permit
         self.deadline = end
-        self.patience: asyncio.Timeout | None = None
+        self.timeout: asyncio.Timeout | None = None
         self.sent = False
         self.over = False
 
     async def write_with_length(self, writer, content_length) -> None:
         """Sends the body, once; see the class."""
-        late = self.over or self.sent or self.patience.expired()
+        late = self.over or self.sent or self.timeout.expired()
         if late or not self.permit():
             raise exceptions.EndpointNotStarted("no longer to be sent")
-        self.patience.reschedule(self.deadline)
+        self.timeout.reschedule(self.deadline)
         self.sent = True
         await super().write_with_length(writer, content_length)
 
@@ -153,9 +153,9 @@
         """Makes one try on one connection; see `call`."""
         now = asyncio.get_running_loop().time()
         limit = now + self.settings.connect_timeout
-        sending.patience = asyncio.timeout_at(min(limit, sending.deadline))
+        sending.timeout = asyncio.timeout_at(min(limit, sending.deadline))
         try:
-            async with sending.patience:
+            async with sending.timeout:
                 return await self.exchange(session, name, sending, dispatch_id)
         except (aiohttp.ClientError, TimeoutError) as error:
             if not sending.sent:
