--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -63,11 +63,11 @@
         self.deadline = end
         self.timeout: asyncio.Timeout | None = None
         self.sent = False
-        self.over = False
+        self.call_ended = False
 
     async def write_with_length(self, writer, content_length) -> None:
         """Sends the body, once; see the class."""
-        late = self.over or self.sent or self.timeout.expired()
+        late = self.call_ended or self.sent or self.timeout.expired()
         if late or not self.permit():
             raise exceptions.EndpointNotStarted("no longer to be sent")
         self.timeout.reschedule(self.deadline)
@@ -162,7 +162,7 @@
                 raise exceptions.EndpointNotStarted(repr(error)) from error
             raise exceptions.EndpointUndetermined(repr(error)) from error
         finally:
-            sending.over = True
+            sending.call_ended = True
 
     async def exchange(
         self,
