--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -33,7 +33,7 @@
     body: bytes
 
 
-class Body(payload.BytesPayload):
+class CallBody(payload.BytesPayload):
     """The body of one call, which goes out after the 100 or never.
 
     aiohttp writes the payload of a request with ``expect100`` once an
@@ -129,7 +129,7 @@
             exceptions.EndpointUndetermined: It may have run.
         """
         end = asyncio.get_running_loop().time() + limit
-        sending = Body(body, permit, end)
+        sending = CallBody(body, permit, end)
         try:
             return await self.send(
                 self.sessions.pooled, name, sending, dispatch_id
@@ -138,7 +138,7 @@
             if not may_be_silent(error):
                 raise
         # Only the pooled connection may have failed; a new one tells.
-        sending = Body(body, permit, end)
+        sending = CallBody(body, permit, end)
         return await self.send(
             self.sessions.unpooled, name, sending, dispatch_id
         )
@@ -147,7 +147,7 @@
         self,
         session: aiohttp.ClientSession,
         name: str,
-        sending: Body,
+        sending: CallBody,
         dispatch_id: str,
     ) -> Answer:
         """Makes one try on one connection; see `call`."""
@@ -168,7 +168,7 @@
         self,
         session: aiohttp.ClientSession,
         name: str,
-        sending: Body,
+        sending: CallBody,
         dispatch_id: str,
     ) -> Answer:
         """Sends one call and reads its answer; see `call`."""
