--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -88,7 +88,7 @@
         sessions: connections.Sessions,
         settings: settings_module.EndpointsSection,
     ):
-        self.base = f"http://{address}"
+        self.base_url = f"http://{address}"
         self.sessions = sessions
         self.settings = settings
 
@@ -99,7 +99,7 @@
             exceptions.EndpointError: It does not answer, or not so.
         """
         limit = self.settings.connect_timeout
-        url = f"{self.base}/health"
+        url = f"{self.base_url}/health"
         pooled = self.sessions.pooled
         return await connections.fetch_report(pooled, url, Health, limit)
 
@@ -175,7 +175,7 @@
         # A body of no bytes is chunked: its end is then a chunk of its own
         # that waits for the 100, too. A redirect would send the call twice.
         async with session.post(
-            f"{self.base}/calls/{name}",
+            f"{self.base_url}/calls/{name}",
             data=sending,
             headers={DISPATCH_HEADER: dispatch_id},
             expect100=True,
