--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -108,7 +108,7 @@
         name: str,
         body: bytes,
         dispatch_id: str,
-        limit: float,
+        timeout: float,
         permit: Callable[[], bool] = lambda: True,
     ) -> Answer:
         """Makes one call, once.
@@ -117,7 +117,7 @@
             name: Of the call.
             body: Sent as it is.
             dispatch_id: Fresh for each dispatch.
-            limit: Seconds for the whole call.
+            timeout: Seconds for the whole call.
             permit: Asked when the replica is ready for the body; if it says
                 no, the body is not sent.
 
@@ -128,7 +128,7 @@
             exceptions.EndpointNotStarted: It cannot have run.
             exceptions.EndpointUndetermined: It may have run.
         """
-        end = asyncio.get_running_loop().time() + limit
+        end = asyncio.get_running_loop().time() + timeout
         sending = CallBody(body, permit, end)
         try:
             return await self.send(
