--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -128,8 +128,8 @@
             exceptions.EndpointNotStarted: It cannot have run.
             exceptions.EndpointUndetermined: It may have run.
         """
-        end = asyncio.get_running_loop().time() + timeout
-        sending = CallBody(body, permit, end)
+        deadline = asyncio.get_running_loop().time() + timeout
+        sending = CallBody(body, permit, deadline)
         try:
             return await self.send(
                 self.sessions.pooled, name, sending, dispatch_id
@@ -138,7 +138,7 @@
             if not may_be_silent(error):
                 raise
         # Only the pooled connection may have failed; a new one tells.
-        sending = CallBody(body, permit, end)
+        sending = CallBody(body, permit, deadline)
         return await self.send(
             self.sessions.unpooled, name, sending, dispatch_id
         )
