--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -129,18 +129,18 @@
             exceptions.EndpointUndetermined: It may have run.
         """
         deadline = asyncio.get_running_loop().time() + timeout
-        sending = CallBody(body, permit, deadline)
+        call_body = CallBody(body, permit, deadline)
         try:
             return await self.send(
-                self.sessions.pooled, name, sending, dispatch_id
+                self.sessions.pooled, name, call_body, dispatch_id
             )
         except exceptions.EndpointNotStarted as error:
             if not may_be_silent(error):
                 raise
         # Only the pooled connection may have failed; a new one tells.
-        sending = CallBody(body, permit, deadline)
+        call_body = CallBody(body, permit, deadline)
         return await self.send(
-            self.sessions.unpooled, name, sending, dispatch_id
+            self.sessions.unpooled, name, call_body, dispatch_id
         )
 
     async def send(
