--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -147,22 +147,24 @@
         self,
         session: aiohttp.ClientSession,
         name: str,
-        sending: CallBody,
+        call_body: CallBody,
         dispatch_id: str,
     ) -> Answer:
         """Makes one try on one connection; see `call`."""
         now = asyncio.get_running_loop().time()
         limit = now + self.settings.connect_timeout
-        sending.timeout = asyncio.timeout_at(min(limit, sending.deadline))
+        call_body.timeout = asyncio.timeout_at(min(limit, call_body.deadline))
         try:
-            async with sending.timeout:
-                return await self.exchange(session, name, sending, dispatch_id)
+            async with call_body.timeout:
+                return await self.exchange(
+                    session, name, call_body, dispatch_id
+                )
         except (aiohttp.ClientError, TimeoutError) as error:
-            if not sending.sent:
+            if not call_body.sent:
                 raise exceptions.EndpointNotStarted(repr(error)) from error
             raise exceptions.EndpointUndetermined(repr(error)) from error
         finally:
-            sending.call_ended = True
+            call_body.call_ended = True
 
     async def exchange(
         self,
