--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -170,7 +170,7 @@
         self,
         session: aiohttp.ClientSession,
         name: str,
-        sending: CallBody,
+        call_body: CallBody,
         dispatch_id: str,
     ) -> Answer:
         """Sends one call and reads its answer; see `call`."""
@@ -178,13 +178,13 @@
         # that waits for the 100, too. A redirect would send the call twice.
         async with session.post(
             f"{self.base_url}/calls/{name}",
-            data=sending,
+            data=call_body,
             headers={DISPATCH_HEADER: dispatch_id},
             expect100=True,
-            chunked=None if sending.size else True,
+            chunked=None if call_body.size else True,
             allow_redirects=False,
         ) as answer:
-            if not sending.sent:
+            if not call_body.sent:
                 answer.close()
                 raise unread(answer.status)
             content = await answer.read()
