--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -135,7 +135,7 @@
                 self.sessions.pooled, name, call_body, dispatch_id
             )
         except exceptions.EndpointNotStarted as error:
-            if not may_be_silent(error):
+            if not is_stale_connection(error):
                 raise
         # Only the pooled connection may have failed; a new one tells.
         call_body = CallBody(body, permit, deadline)
@@ -196,7 +196,7 @@
             return Answer(answer.status, answer.content_type, content)
 
 
-def may_be_silent(error: exceptions.EndpointNotStarted) -> bool:
+def is_stale_connection(error: exceptions.EndpointNotStarted) -> bool:
     """Whether a connection failed that was open, before its 100 came."""
     if isinstance(error.__cause__, aiohttp.ClientConnectorError):
         return False
