--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -200,12 +200,12 @@
     """Whether a connection failed that was open, before its 100 came."""
     if isinstance(error.__cause__, aiohttp.ClientConnectorError):
         return False
-    silences = (
+    connection_errors = (
         TimeoutError,
         aiohttp.ClientOSError,
         aiohttp.ServerDisconnectedError,
     )
-    return isinstance(error.__cause__, silences)
+    return isinstance(error.__cause__, connection_errors)
 
 
 def unread(status: int) -> exceptions.EndpointError:
