--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -186,7 +186,7 @@
         ) as answer:
             if not call_body.sent:
                 answer.close()
-                raise unread(answer.status)
+                raise early_answer_error(answer.status)
             content = await answer.read()
             if answer.headers.get(DISPATCH_HEADER) != dispatch_id:
                 answer.close()
@@ -208,7 +208,7 @@
     return isinstance(error.__cause__, connection_errors)
 
 
-def unread(status: int) -> exceptions.EndpointError:
+def early_answer_error(status: int) -> exceptions.EndpointError:
     """Makes the error of a final answer that came instead of the 100."""
     if status < 400:
         return exceptions.EndpointUndetermined(
