--- a/packages/gypsumfold/src/gypsumfold/endpoints/sse.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/sse.py
@@ -6,7 +6,7 @@
 
 # Largest event that is accepted, in bytes. An engine's event carries one
 # token; anything of this size is not one.
-EVENT_LIMIT = 64 * 1024
+MAX_EVENT_BYTES = 64 * 1024
 
 
 class ServerEvent(NamedTuple):
@@ -41,7 +41,7 @@
         """
         buffer = (self.buffer + data).replace(b"\r\n", b"\n")
         *blocks, self.buffer = buffer.split(b"\n\n")
-        if len(self.buffer) > EVENT_LIMIT:
+        if len(self.buffer) > MAX_EVENT_BYTES:
             raise exceptions.StreamBroken("an event is too large")
         found = []
         for block in blocks:
@@ -52,7 +52,7 @@
 
 
 def _parse(block: bytes) -> ServerEvent | None:
-    if len(block) > EVENT_LIMIT:
+    if len(block) > MAX_EVENT_BYTES:
         raise exceptions.StreamBroken("an event is too large")
     try:
         text = block.decode()
