--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -265,7 +265,7 @@
 
     async def take(
         self,
-        stream: AsyncIterator[tokens.Item],
+        stream: AsyncIterator[tokens.StreamItem],
         grant: dispatching.Grant,
         dispatch: engines.Dispatch,
     ) -> AsyncIterator[Part]:
--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -121,7 +121,9 @@
         url = f"{self.base_url}/load"
         return await connections.fetch_report(session, url, Load, limit)
 
-    async def start(self, dispatch: Dispatch) -> AsyncIterator[tokens.Item]:
+    async def start(
+        self, dispatch: Dispatch
+    ) -> AsyncIterator[tokens.StreamItem]:
         """Starts a dispatch and yields its tokens, then its finish.
 
         Args:
@@ -154,7 +156,7 @@
 
     async def resume(
         self, dispatch_id: str, index: int
-    ) -> AsyncIterator[tokens.Item]:
+    ) -> AsyncIterator[tokens.StreamItem]:
         """Goes on with a stream that was started before.
 
         Args:
@@ -186,7 +188,7 @@
 
     async def read_stream(
         self, request, dispatch_id: str, index: int
-    ) -> AsyncIterator[tokens.Item]:
+    ) -> AsyncIterator[tokens.StreamItem]:
         """Reads one stream, checking each event; see `start`."""
         try:
             async with asyncio.timeout(self.settings.idle_timeout):
--- a/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
@@ -26,7 +26,7 @@
 
 
 # What a stream gives: tokens in order, then its finish.
-Item = Token | Finish
+StreamItem = Token | Finish
 
 
 class _WireEvent(msgspec.Struct):
@@ -46,7 +46,7 @@
         self.finished = False
         self.done = False
 
-    def item(self, event: sse.ServerEvent) -> Item | None:
+    def item(self, event: sse.ServerEvent) -> StreamItem | None:
         """Returns what the event says; None at the end marker."""
         if event.data == DONE:
             self.done = True
