--- a/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
@@ -42,7 +42,7 @@
 
     def __init__(self, dispatch_id: str, index: int):
         self.dispatch_id = dispatch_id
-        self.index = index
+        self.next_index = index
         self.finished = False
         self.done = False
 
@@ -60,13 +60,13 @@
         if self.finished:
             raise exceptions.StreamBroken("an event after the finish")
         if wire.finish_reason is not None:
-            if wire.tokens != self.index:
+            if wire.tokens != self.next_index:
                 raise exceptions.StreamBroken("the token count differs")
             self.finished = True
             return Finish(wire.finish_reason, wire.tokens)
-        if wire.index != self.index or wire.token is None:
+        if wire.index != self.next_index or wire.token is None:
             raise exceptions.StreamBroken("an event out of order")
-        self.index += 1
+        self.next_index += 1
         return Token(wire.index, wire.token)
 
     def ended(self) -> None:
