--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -207,7 +207,7 @@
                 raise exceptions.EndpointFailed(f"status {response.status}")
             check = tokens.Check(dispatch_id, index)
             async for event in self.read_events(response):
-                item = check.item(event)
+                item = check.validate(event)
                 if item is None:
                     break
                 yield item
--- a/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
@@ -46,7 +46,7 @@
         self.finished = False
         self.done = False
 
-    def item(self, event: sse.ServerEvent) -> StreamItem | None:
+    def validate(self, event: sse.ServerEvent) -> StreamItem | None:
         """Returns what the event says; None at the end marker."""
         if event.data == DONE:
             self.done = True
