--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -211,7 +211,7 @@
                 if item is None:
                     break
                 yield item
-            check.ended()
+            check.check_complete()
             is_complete = True
         finally:
             # Only a connection whose stream ended as it should is pooled:
--- a/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
@@ -69,7 +69,7 @@
         self.next_index += 1
         return Token(wire.index, wire.token)
 
-    def ended(self) -> None:
+    def check_complete(self) -> None:
         """Raises unless finish and end marker both came."""
         if not self.finished or not self.done:
             raise exceptions.StreamBroken("the stream is truncated")
