--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -205,7 +205,7 @@
                 raise exceptions.EndpointNotStarted(f"status {response.status}")
             if response.status != 200:
                 raise exceptions.EndpointFailed(f"status {response.status}")
-            check = tokens.Check(dispatch_id, index)
+            check = tokens.StreamValidator(dispatch_id, index)
             async for event in self.read_events(response):
                 item = check.validate(event)
                 if item is None:
--- a/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
@@ -37,7 +37,7 @@
     tokens: int = -1
 
 
-class Check:
+class StreamValidator:
     """Checks each event of a stream against what must come next."""
 
     def __init__(self, dispatch_id: str, index: int):
