--- a/packages/gypsumfold/src/gypsumfold/callers/accounts.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/accounts.py
@@ -16,7 +16,7 @@
 DEFAULT_URGENCY = 5
 
 
-def account_of(
+def find_account(
     configuration: configuration_module.Configuration, request: web.Request
 ) -> str:
     """Finds the account of a request by its bearer token.
--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -130,7 +130,7 @@
                 "this node is not ready", outcomes.Outcome.NOT_RUN, 1.0
             )
             raise calls.unclaimed(request, error)
-        account = accounts.account_of(self.node.configuration, request)
+        account = accounts.find_account(self.node.configuration, request)
         request[progress.KEY].account = account
         return await handler(request)
 
