--- a/packages/gypsumfold/src/gypsumfold/callers/accounts.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/accounts.py
@@ -43,7 +43,7 @@
     )
 
 
-def kind_of(
+def find_kind(
     configuration: configuration_module.Configuration,
     service: str,
     name: str,
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -143,7 +143,7 @@
             deadline=self.node.settings.callers.deadline,
         )
         try:
-            name, kind = accounts.kind_of(
+            name, kind = accounts.find_kind(
                 self.node.configuration, service, call, fallback
             )
         except exceptions.RequestInvalid:
--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -101,7 +101,7 @@
             # Generating text acts on nothing outside the engine.
             repeatable=True,
         )
-        name, kind = accounts.kind_of(
+        name, kind = accounts.find_kind(
             self.node.configuration,
             service,
             request.headers.get(accounts.KIND_HEADER, ""),
