--- a/packages/gypsumfold/src/gypsumfold/callers/models.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/models.py
@@ -70,7 +70,7 @@
     return ""
 
 
-def names(configuration: configuration_module.Configuration) -> list[str]:
+def list_names(configuration: configuration_module.Configuration) -> list[str]:
     """Lists every model, adapter and version that callers can name."""
     found = []
     for kind in ("model", "adapter", "version"):
--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -137,7 +137,7 @@
     async def get_models(self, request: web.Request) -> web.Response:
         """Lists the models that callers can name."""
         data = []
-        for name in models.names(self.node.configuration):
+        for name in models.list_names(self.node.configuration):
             data.append({"id": name, "object": "model"})
         body = msgspec.json.encode({"object": "list", "data": data})
         request[progress.KEY].outcome = outcomes.Outcome.COMPLETE
