--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -58,7 +58,7 @@
         state.request = order.wanted
         ending = await self.serve(order, request.headers.get(KEY_HEADER))
         answer = ending.give()
-        state.answered()
+        state.record_answer_start()
         return web.Response(
             status=answer.status,
             body=answer.body,
--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -133,7 +133,7 @@
         parts = answer.parts()
         async with deadline(answer), contextlib.aclosing(parts):
             async for _ in parts:
-                request[progress.KEY].answered()
+                request[progress.KEY].record_answer_start()
         finish = answer.finish
         document = {
             "id": answer.request.id,
@@ -235,7 +235,7 @@
     async def token(self, part: answers.Part) -> None:
         """Sends one token with the position after it."""
         await self.start()
-        self.request[progress.KEY].answered()
+        self.request[progress.KEY].record_answer_start()
         if part.dispatch != self.dispatch:
             self.dispatch = part.dispatch
             self.prefix = self.positions.prefix(
--- a/packages/gypsumfold/src/gypsumfold/callers/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/progress.py
@@ -32,7 +32,7 @@
         self.cancelled = False
         self.given_up = False
 
-    def answered(self) -> None:
+    def record_answer_start(self) -> None:
         """Notes that the first part of an answer is there."""
         if self.first is None:
             self.first = time.monotonic() - self.started
