--- a/packages/gypsumfold/src/gypsumfold/callers/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/progress.py
@@ -26,7 +26,7 @@
     def __init__(self):
         self.account = ""
         self.request: types.Request | None = None
-        self.first: float | None = None
+        self.time_to_first: float | None = None
         self.outcome = outcomes.Outcome.UNDETERMINED
         self.started = time.monotonic()
         self.cancelled = False
@@ -34,8 +34,8 @@
 
     def record_answer_start(self) -> None:
         """Notes that the first part of an answer is there."""
-        if self.first is None:
-            self.first = time.monotonic() - self.started
+        if self.time_to_first is None:
+            self.time_to_first = time.monotonic() - self.started
 
     @property
     def seconds(self) -> float:
