--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -187,7 +187,7 @@
             request[progress.KEY].outcome = error.outcome
             await writer.error(error)
         except asyncio.CancelledError:
-            if not (request[progress.KEY].given_up and response.prepared):
+            if not (request[progress.KEY].aborted and response.prepared):
                 raise
             asyncio.current_task().uncancel()
             error = answer.failure("this node stops", RETRY_AFTER)
--- a/packages/gypsumfold/src/gypsumfold/callers/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/progress.py
@@ -30,7 +30,7 @@
         self.outcome = outcomes.Outcome.UNDETERMINED
         self.started = time.monotonic()
         self.cancelled = False
-        self.given_up = False
+        self.aborted = False
 
     def record_answer_start(self) -> None:
         """Notes that the first part of an answer is there."""
--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -40,7 +40,7 @@
     def give_up(self) -> None:
         """Ends all requests in progress, each with a final answer."""
         for task, state in self.running.items():
-            state.given_up = True
+            state.aborted = True
             task.cancel()
 
     def application(self) -> web.Application:
@@ -93,7 +93,7 @@
             state.outcome = problem.outcome
             return problems.response(problem)
         except asyncio.CancelledError:
-            if not state.given_up:
+            if not state.aborted:
                 state.cancelled = True
                 raise
             task.uncancel()
