--- a/packages/gypsumfold/src/gypsumfold/callers/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/progress.py
@@ -38,7 +38,7 @@
             self.time_to_first = time.monotonic() - self.started
 
     @property
-    def seconds(self) -> float:
+    def elapsed(self) -> float:
         """Seconds since the request arrived."""
         return time.monotonic() - self.started
 
--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -107,7 +107,7 @@
     def ended(self, path: str, state: progress.Progress) -> None:
         """Counts one final answer; one that its caller left is not judged."""
         self.node.metrics.count(metrics.REQUESTS, label=state.outcome)
-        self.node.metrics.timing(metrics.REQUEST_SECONDS, state.seconds)
+        self.node.metrics.timing(metrics.REQUEST_SECONDS, state.elapsed)
         self.node.metrics.gauge(metrics.OPEN_REQUESTS, self.open_requests)
         if state.request is not None and not state.cancelled:
             whole = state.outcome == outcomes.Outcome.COMPLETE
@@ -117,7 +117,7 @@
             path=path,
             account=state.account,
             outcome=state.outcome,
-            seconds=round(state.seconds, 4),
+            seconds=round(state.elapsed, 4),
         )
 
     @web.middleware
