--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -148,7 +148,7 @@
             if step == claims_module.Step.ANSWER:
                 return kept.recorded(self.claims.outcome(*attempt.place))
             if step != claims_module.Step.WAIT:
-                raise refusals.ended(step)
+                raise refusals.cannot_run(step)
             ending = await self.wait(attempt)
             if ending is not None:
                 return ending
--- a/packages/gypsumfold/src/gypsumfold/callers/refusals.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/refusals.py
@@ -17,7 +17,7 @@
     )
 
 
-def ended(step: claims.Step) -> exceptions.RequestError:
+def cannot_run(step: claims.Step) -> exceptions.RequestError:
     """Makes the error of a key under which nothing more can run."""
     if step == claims.Step.CONFLICT:
         return conflict()
