--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -272,12 +272,12 @@
         if attempt.changed.is_set():
             return None
         if state is None or not state.known:
-            raise refusals.unreachable()
+            raise refusals.holder_unreachable()
         if state.ending is not None:
             try:
                 return kept.from_thrift(state.ending)
             except exceptions.FrameInvalid as error:
-                raise refusals.unreachable() from error
+                raise refusals.holder_unreachable() from error
         try:
             async with asyncio.timeout(min(ASK_INTERVAL, attempt.left)):
                 await attempt.changed.wait()
--- a/packages/gypsumfold/src/gypsumfold/callers/refusals.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/refusals.py
@@ -39,7 +39,7 @@
     )
 
 
-def unreachable() -> exceptions.AnswerUndetermined:
+def holder_unreachable() -> exceptions.AnswerUndetermined:
     """Makes the error of a key whose holder cannot be asked."""
     return exceptions.AnswerUndetermined(
         "another node holds this key and cannot be asked",
