--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -172,7 +172,7 @@
         if age != claims_module.Age.VALID:
             raise refusals.out_of_window(age)
         if not self.readable():
-            raise refusals.unclaimed("the log cannot be read")
+            raise refusals.claim_failed("the log cannot be read")
         patience = min(self.patience, attempt.left)
         try:
             offset = await self.batcher.append(attempt.claim, patience)
@@ -180,10 +180,12 @@
             async with asyncio.timeout(patience):
                 await self.tail.wait_until_delivered(offset)
         except exceptions.LogUnavailable as error:
-            raise refusals.unclaimed("the log takes no claim") from error
+            raise refusals.claim_failed("the log takes no claim") from error
         except (exceptions.AppendUndetermined, TimeoutError) as error:
             attempt.claimed = True
-            raise refusals.unclaimed("the claim was not read back") from error
+            raise refusals.claim_failed(
+                "the claim was not read back"
+            ) from error
         attempt.read_back = True
 
     def readable(self) -> bool:
--- a/packages/gypsumfold/src/gypsumfold/callers/refusals.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/refusals.py
@@ -48,7 +48,7 @@
     )
 
 
-def unclaimed(reason: str) -> exceptions.Unavailable:
+def claim_failed(reason: str) -> exceptions.Unavailable:
     """Makes the error of a key that could not be claimed."""
     return exceptions.Unavailable(
         f"{reason}; repeat with the same key, or use a key from /v1/keys",
