--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -87,7 +87,7 @@
             try:
                 return kept.Ending(await self.dispatches.run(order), None)
             except exceptions.RequestError as error:
-                return kept.Ending(None, refusals.doubted(error))
+                return kept.Ending(None, refusals.as_undetermined(error))
         digest = digest_of(order)
         canonical = claims.canonical_key(key)
         if canonical:
@@ -199,4 +199,4 @@
     """
     if KEY_HEADER not in request.headers:
         return error
-    return refusals.doubted(error)
+    return refusals.as_undetermined(error)
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -229,7 +229,7 @@
         step = self.claims.step(attempt.claim, attempt.read_back)
         if step == claims_module.Step.CLOSED:
             return kept.Ending(None, error)
-        return kept.Ending(None, refusals.doubted(error))
+        return kept.Ending(None, refusals.as_undetermined(error))
 
     async def until_closed(self, attempt: Attempt) -> None:
         """Waits for the release to be read back, as long as a claim may."""
--- a/packages/gypsumfold/src/gypsumfold/callers/refusals.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/refusals.py
@@ -57,7 +57,7 @@
     )
 
 
-def doubted(error: exceptions.RequestError) -> exceptions.RequestError:
+def as_undetermined(error: exceptions.RequestError) -> exceptions.RequestError:
     """Makes an error without the promise that nothing has run.
 
     Args:
