--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -238,7 +238,7 @@
         self.request[progress.KEY].record_answer_start()
         if part.dispatch != self.dispatch:
             self.dispatch = part.dispatch
-            self.prefix = self.positions.prefix(
+            self.prefix = self.positions.sign(
                 self.answer.request.account, part.endpoint, part.dispatch
             )
         data = self.chunk({"content": part.text}, None)
--- a/packages/gypsumfold/src/gypsumfold/callers/resumption.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/resumption.py
@@ -43,7 +43,7 @@
             settings.secret, salt=SALT
         )
 
-    def prefix(self, account: str, endpoint: str, dispatch: str) -> str:
+    def sign(self, account: str, endpoint: str, dispatch: str) -> str:
         """Makes the part of the id that is the same for a dispatch."""
         return self.serializer.dumps([account, endpoint, dispatch])
 
