--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -80,7 +80,7 @@
         )
         last = request.headers.get("Last-Event-ID")
         if last:
-            position = self.positions.read(last, state.account)
+            position = self.positions.verify(last, state.account)
             return await self.stream(request, answer, answer.resumed(position))
         if body.stream:
             return await self.stream(request, answer, answer.parts())
--- a/packages/gypsumfold/src/gypsumfold/callers/resumption.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/resumption.py
@@ -47,7 +47,7 @@
         """Makes the part of the id that is the same for a dispatch."""
         return self.serializer.dumps([account, endpoint, dispatch])
 
-    def read(self, text: str, account: str) -> Position:
+    def verify(self, text: str, account: str) -> Position:
         """Reads the ``Last-Event-ID`` of a caller.
 
         Args:
