--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -57,7 +57,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.positions = resumption.Positions(node.settings.peers)
+        self.positions = resumption.PositionSigner(node.settings.peers)
 
     async def post(self, request: web.Request) -> web.StreamResponse:
         """Serves one request.
@@ -209,7 +209,7 @@
         request: web.Request,
         response: web.StreamResponse,
         answer: answers.Answer,
-        positions: resumption.Positions,
+        positions: resumption.PositionSigner,
     ):
         self.request = request
         self.response = response
--- a/packages/gypsumfold/src/gypsumfold/callers/resumption.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/resumption.py
@@ -27,7 +27,7 @@
     index: int
 
 
-class Positions:
+class PositionSigner:
     """Writes and reads the ``id:`` of streamed events.
 
     The signature covers all but the index and is made once for a dispatch:
