--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -14,7 +14,7 @@
 # Bytes of an answer that is kept whole for a repeat. A seat hold's or a tug
 # call's answer is a few hundred; at 512 records a batch of the log (256 KiB)
 # still takes thirty of the largest.
-KEPT_BYTES = 8 * 1024
+MAX_KEPT_ANSWER_BYTES = 8 * 1024
 
 _ERRORS: dict[str, type[exceptions.RequestError]] = {}
 for _kind in exceptions.RequestError.__subclasses__():
@@ -60,7 +60,7 @@
         answer.content_type,
         len(answer.body),
         hashlib.sha256(answer.body).hexdigest(),
-        answer.body if len(answer.body) <= KEPT_BYTES else None,
+        answer.body if len(answer.body) <= MAX_KEPT_ANSWER_BYTES else None,
     )
 
 
@@ -135,7 +135,10 @@
 
 def trimmed(ending: Ending) -> Ending:
     """Leaves a large answer out, as the log does."""
-    if ending.answer is None or len(ending.answer.body) <= KEPT_BYTES:
+    if (
+        ending.answer is None
+        or len(ending.answer.body) <= MAX_KEPT_ANSWER_BYTES
+    ):
         return ending
     nobody = claims.Claim("", "", "", "")
     return recorded(record(nobody, ending))
