--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -57,7 +57,7 @@
         order = self.order(state.account, service, call, body)
         state.request = order.wanted
         ending = await self.serve(order, request.headers.get(KEY_HEADER))
-        answer = ending.give()
+        answer = ending.unwrap()
         state.record_answer_start()
         return web.Response(
             status=answer.status,
--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -41,7 +41,7 @@
             return outcomes.Outcome.FAILED_AFTER_START
         return outcomes.Outcome.COMPLETE
 
-    def give(self) -> services.Answer:
+    def unwrap(self) -> services.Answer:
         """Returns the answer or raises the error."""
         if self.error is not None:
             raise self.error
