--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -69,7 +69,7 @@
         self.account = account
         self.expires = expires
         self.digest = ""
-        self.task: asyncio.Future[kept.Ending] | None = None
+        self.task: asyncio.Future[kept.CallResult] | None = None
 
 
 class Bound:
@@ -133,7 +133,7 @@
 
     async def call(
         self, text: str, key: Key, digest: str, order: dispatches.Order
-    ) -> kept.Ending:
+    ) -> kept.CallResult:
         """Serves one request under a key that `read` accepted."""
         if key.incarnation == self.node.incarnation:
             return await self.run_here(key, digest, order)
@@ -141,12 +141,12 @@
 
     async def run_here(
         self, key: Key, digest: str, order: dispatches.Order
-    ) -> kept.Ending:
+    ) -> kept.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
         self.expire()
         issued = self.issued.get(key.number)
         if issued is None:
-            return kept.Ending(
+            return kept.CallResult(
                 None,
                 exceptions.KeyExpired(
                     "this key has expired; what ran under it is forgotten",
@@ -157,25 +157,25 @@
             issued.digest = digest
             issued.task = asyncio.create_task(self.run(order))
         if issued.digest != digest:
-            return kept.Ending(None, refusals.conflict())
+            return kept.CallResult(None, refusals.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         ending = await asyncio.shield(issued.task)
         issued.task = done(kept.trimmed(ending))
         return ending
 
-    async def run(self, order: dispatches.Order) -> kept.Ending:
+    async def run(self, order: dispatches.Order) -> kept.CallResult:
         """Runs the one attempt; what it refuses cannot run any more."""
         try:
-            return kept.Ending(await self.dispatches.run(order), None)
+            return kept.CallResult(await self.dispatches.run(order), None)
         except exceptions.RequestError as error:
-            return kept.Ending(None, error)
+            return kept.CallResult(None, error)
 
     async def forward(
         self, text: str, key: Key, order: dispatches.Order
-    ) -> kept.Ending:
+    ) -> kept.CallResult:
         """Has the key's own incarnation serve the request."""
         if len(order.body) > FORWARDED_BYTES:
-            return kept.Ending(None, too_large())
+            return kept.CallResult(None, too_large())
         wanted = order.wanted
         left = max(0.0, wanted.deadline - time.monotonic())
         message = thrift.BoundCall(
@@ -191,7 +191,7 @@
             )
             return kept.from_thrift(reply)
         except exceptions.PeerError as error:
-            return kept.Ending(
+            return kept.CallResult(
                 None,
                 exceptions.AnswerUndetermined(
                     f"the node that gave this key does not answer: {error!r}",
@@ -201,7 +201,7 @@
             )
 
 
-def done(ending: kept.Ending) -> asyncio.Future:
+def done(ending: kept.CallResult) -> asyncio.Future:
     """Makes a future that already has its result."""
     future = asyncio.get_running_loop().create_future()
     future.set_result(ending)
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -79,22 +79,22 @@
 
     async def serve(
         self, order: dispatches.Order, key: str | None
-    ) -> kept.Ending:
+    ) -> kept.CallResult:
         """Serves one request in the way that its key asks for."""
         if key is None:
-            return kept.Ending(await self.dispatches.run(order), None)
+            return kept.CallResult(await self.dispatches.run(order), None)
         if order.wanted.repeatable:
             try:
-                return kept.Ending(await self.dispatches.run(order), None)
+                return kept.CallResult(await self.dispatches.run(order), None)
             except exceptions.RequestError as error:
-                return kept.Ending(None, refusals.as_undetermined(error))
+                return kept.CallResult(None, refusals.as_undetermined(error))
         digest = digest_of(order)
         canonical = claims.canonical_key(key)
         if canonical:
             return await self.keyed.call(canonical, digest, order)
         issued = self.bound.read(key, order.wanted.account)
         if issued is None:
-            return kept.Ending(None, invalid_key())
+            return kept.CallResult(None, invalid_key())
         return await self.bound.call(key, issued, digest, order)
 
     async def on_bound(self, message, address: str):
--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -21,7 +21,7 @@
     _ERRORS[_kind.slug] = _kind
 
 
-class Ending(NamedTuple):
+class CallResult(NamedTuple):
     """The end of a call: its answer or its error.
 
     Attributes:
@@ -48,7 +48,7 @@
         return self.answer
 
 
-def record(claim: claims.Claim, ending: Ending) -> claims.Outcome:
+def record(claim: claims.Claim, ending: CallResult) -> claims.Outcome:
     """Makes the record of a claimed call's end for the log."""
     answer = ending.answer
     if answer is None:
@@ -64,16 +64,16 @@
     )
 
 
-def recorded(outcome: claims.Outcome) -> Ending:
+def recorded(outcome: claims.Outcome) -> CallResult:
     """Makes the end of a call out of its record."""
     if outcome.status and outcome.body is not None:
-        return Ending(
+        return CallResult(
             services.Answer(outcome.status, outcome.content_type, outcome.body),
             None,
         )
     if outcome.status:
-        return Ending(None, forgotten(outcome))
-    return Ending(
+        return CallResult(None, forgotten(outcome))
+    return CallResult(
         None,
         exceptions.AnswerUndetermined(
             "an earlier attempt may have run", outcomes.Outcome.UNDETERMINED
@@ -90,7 +90,7 @@
     )
 
 
-def to_thrift(ending: Ending):
+def to_thrift(ending: CallResult):
     """Makes the message that carries an ending to another node."""
     if ending.answer is not None:
         return thrift.CallEnding(
@@ -108,14 +108,14 @@
     )
 
 
-def from_thrift(message) -> Ending:
+def from_thrift(message) -> CallResult:
     """Makes an ending out of another node's message.
 
     Raises:
         exceptions.FrameInvalid: It makes no sense.
     """
     if message.status:
-        return Ending(
+        return CallResult(
             services.Answer(
                 message.status, message.content_type or "", message.body or b""
             ),
@@ -128,12 +128,12 @@
         raise exceptions.FrameInvalid("an unknown outcome") from error
     if kind is None:
         raise exceptions.FrameInvalid("an unknown problem")
-    return Ending(
+    return CallResult(
         None, kind(message.detail or "", outcome, message.retry_after)
     )
 
 
-def trimmed(ending: Ending) -> Ending:
+def trimmed(ending: CallResult) -> CallResult:
     """Leaves a large answer out, as the log does."""
     if (
         ending.answer is None
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -55,7 +55,7 @@
         self.claimed = False
         self.read_back = False
         self.released = False
-        self.ending: kept.Ending | None = None
+        self.ending: kept.CallResult | None = None
         self.changed = asyncio.Event()
         self.task: asyncio.Task | None = None
 
@@ -100,7 +100,7 @@
 
     async def call(
         self, key: str, digest: str, order: dispatches.Order
-    ) -> kept.Ending:
+    ) -> kept.CallResult:
         """Serves one request under a key.
 
         Args:
@@ -120,23 +120,23 @@
             self.attempts[place] = attempt
             attempt.task = asyncio.create_task(self.run(attempt))
         if attempt.claim.digest != digest:
-            return kept.Ending(None, refusals.conflict())
+            return kept.CallResult(None, refusals.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         return await asyncio.shield(attempt.task)
 
-    async def run(self, attempt: Attempt) -> kept.Ending:
+    async def run(self, attempt: Attempt) -> kept.CallResult:
         """Brings one attempt to its end."""
         try:
             ending = await self.advance(attempt)
         except exceptions.RequestError as error:
-            ending = kept.Ending(None, error)
+            ending = kept.CallResult(None, error)
         if attempt.claimed and not attempt.released:
             self.release(attempt, closes=False)
         attempt.ending = ending
         self.forget(attempt)
         return ending
 
-    async def advance(self, attempt: Attempt) -> kept.Ending:
+    async def advance(self, attempt: Attempt) -> kept.CallResult:
         """Takes one step after the other, as the claims allow."""
         while attempt.order.in_time():
             step = self.claims.step(attempt.claim, attempt.read_back)
@@ -199,24 +199,24 @@
         step = self.claims.step(attempt.claim, attempt.read_back)
         return step == claims_module.Step.DISPATCH and not attempt.released
 
-    async def dispatch(self, attempt: Attempt) -> kept.Ending:
+    async def dispatch(self, attempt: Attempt) -> kept.CallResult:
         """Runs the call: the claim is the winning one."""
         try:
             answer = await self.dispatches.run(
                 attempt.order, lambda: self.may_run(attempt)
             )
-            ending = kept.Ending(answer, None)
+            ending = kept.CallResult(answer, None)
         except exceptions.RequestError as error:
             if error.outcome == outcomes.Outcome.NOT_RUN:
                 return await self.refuse(attempt, error)
-            ending = kept.Ending(None, error)
+            ending = kept.CallResult(None, error)
         attempt.released = True
         self.post(kept.record(attempt.claim, ending))
         return ending
 
     async def refuse(
         self, attempt: Attempt, error: exceptions.RequestError
-    ) -> kept.Ending:
+    ) -> kept.CallResult:
         """Ends an attempt that has not run and will not.
 
         Returns:
@@ -228,8 +228,8 @@
             await self.until_closed(attempt)
         step = self.claims.step(attempt.claim, attempt.read_back)
         if step == claims_module.Step.CLOSED:
-            return kept.Ending(None, error)
-        return kept.Ending(None, refusals.as_undetermined(error))
+            return kept.CallResult(None, error)
+        return kept.CallResult(None, refusals.as_undetermined(error))
 
     async def until_closed(self, attempt: Attempt) -> None:
         """Waits for the release to be read back, as long as a claim may."""
@@ -258,7 +258,7 @@
         except exceptions.LogUnavailable as error:
             events.log(events.CLAIM_RECORD_LOST, reason=str(error))
 
-    async def wait(self, attempt: Attempt) -> kept.Ending | None:
+    async def wait(self, attempt: Attempt) -> kept.CallResult | None:
         """Waits for another node's attempt, and asks that node meanwhile.
 
         Returns:
