--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -48,7 +48,7 @@
         return self.answer
 
 
-def record(claim: claims.Claim, ending: CallResult) -> claims.Outcome:
+def to_record(claim: claims.Claim, ending: CallResult) -> claims.Outcome:
     """Makes the record of a claimed call's end for the log."""
     answer = ending.answer
     if answer is None:
@@ -141,4 +141,4 @@
     ):
         return ending
     nobody = claims.Claim("", "", "", "")
-    return recorded(record(nobody, ending))
+    return recorded(to_record(nobody, ending))
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -211,7 +211,7 @@
                 return await self.refuse(attempt, error)
             ending = kept.CallResult(None, error)
         attempt.released = True
-        self.post(kept.record(attempt.claim, ending))
+        self.post(kept.to_record(attempt.claim, ending))
         return ending
 
     async def refuse(
