--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -64,7 +64,7 @@
     )
 
 
-def recorded(outcome: claims.Outcome) -> CallResult:
+def from_record(outcome: claims.Outcome) -> CallResult:
     """Makes the end of a call out of its record."""
     if outcome.status and outcome.body is not None:
         return CallResult(
@@ -141,4 +141,4 @@
     ):
         return ending
     nobody = claims.Claim("", "", "", "")
-    return recorded(to_record(nobody, ending))
+    return from_record(to_record(nobody, ending))
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -146,7 +146,7 @@
             if step == claims_module.Step.DISPATCH:
                 return await self.dispatch(attempt)
             if step == claims_module.Step.ANSWER:
-                return kept.recorded(self.claims.outcome(*attempt.place))
+                return kept.from_record(self.claims.outcome(*attempt.place))
             if step != claims_module.Step.WAIT:
                 raise refusals.cannot_run(step)
             ending = await self.wait(attempt)
@@ -318,7 +318,7 @@
         outcome = self.claims.outcome(*place)
         if outcome is None or outcome.claim != message.claim:
             return thrift.ClaimState(known=False)
-        ending = kept.to_thrift(kept.recorded(outcome))
+        ending = kept.to_thrift(kept.from_record(outcome))
         return thrift.ClaimState(known=True, ending=ending)
 
     def forget(self, attempt: Attempt) -> None:
