--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -72,7 +72,7 @@
             None,
         )
     if outcome.status:
-        return CallResult(None, forgotten(outcome))
+        return CallResult(None, answer_not_kept(outcome))
     return CallResult(
         None,
         exceptions.AnswerUndetermined(
@@ -81,7 +81,7 @@
     )
 
 
-def forgotten(outcome: claims.Outcome) -> exceptions.AnswerFailed:
+def answer_not_kept(outcome: claims.Outcome) -> exceptions.AnswerFailed:
     """Makes the error of a call that ran and whose answer is too large."""
     return exceptions.AnswerFailed(
         f"the call ran and was answered with status {outcome.status} and "
