--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -160,7 +160,7 @@
             return kept.CallResult(None, refusals.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         ending = await asyncio.shield(issued.task)
-        issued.task = done(kept.trimmed(ending))
+        issued.task = done(kept.without_large_answer(ending))
         return ending
 
     async def run(self, order: dispatches.Order) -> kept.CallResult:
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -111,7 +111,7 @@
         ending = await self.bound.run_here(key, digest_of(order), order)
         answer = ending.answer
         if answer is not None and len(answer.body) > bound.RETURNED_BYTES:
-            ending = kept.trimmed(ending)
+            ending = kept.without_large_answer(ending)
         return kept.to_thrift(ending)
 
     def check(self, service: str) -> None:
--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -133,7 +133,7 @@
     )
 
 
-def trimmed(ending: CallResult) -> CallResult:
+def without_large_answer(ending: CallResult) -> CallResult:
     """Leaves a large answer out, as the log does."""
     if (
         ending.answer is None
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -313,7 +313,7 @@
         if attempt is not None and attempt.claim.id == message.claim:
             ending = attempt.ending
             if ending is not None:
-                ending = kept.to_thrift(kept.trimmed(ending))
+                ending = kept.to_thrift(kept.without_large_answer(ending))
             return thrift.ClaimState(known=True, ending=ending)
         outcome = self.claims.outcome(*place)
         if outcome is None or outcome.claim != message.claim:
