--- a/packages/gypsumfold/src/gypsumfold/callers/kept.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/kept.py
@@ -140,5 +140,5 @@
         or len(ending.answer.body) <= MAX_KEPT_ANSWER_BYTES
     ):
         return ending
-    nobody = claims.Claim("", "", "", "")
-    return from_record(to_record(nobody, ending))
+    empty_claim = claims.Claim("", "", "", "")
+    return from_record(to_record(empty_claim, ending))
