--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -37,7 +37,7 @@
         """How many requests are in progress."""
         return len(self.running)
 
-    def give_up(self) -> None:
+    def abort_requests(self) -> None:
         """Ends all requests in progress, each with a final answer."""
         for task, state in self.running.items():
             state.aborted = True
