--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -102,9 +102,9 @@
             return problems.response(problem)
         finally:
             del self.running[task]
-            self.ended(request.path, state)
+            self.record_end(request.path, state)
 
-    def ended(self, path: str, state: progress.Progress) -> None:
+    def record_end(self, path: str, state: progress.Progress) -> None:
         """Counts one final answer; one that its caller left is not judged."""
         self.node.metrics.count(metrics.REQUESTS, label=state.outcome)
         self.node.metrics.timing(metrics.REQUEST_SECONDS, state.elapsed)
