--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -97,7 +97,7 @@
                 state.cancelled = True
                 raise
             task.uncancel()
-            problem = given_up()
+            problem = shutdown_error()
             state.outcome = problem.outcome
             return problems.response(problem)
         finally:
@@ -153,7 +153,7 @@
         return web.json_response({"live": True})
 
 
-def given_up() -> exceptions.RequestError:
+def shutdown_error() -> exceptions.RequestError:
     """Makes the final answer of a request that outlasts a shutdown.
 
     Whether an endpoint goes on with it cannot be said.
