--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -22,7 +22,7 @@
 
 # Tries to go on with a broken stream on the engine that has it. The second
 # is on a fresh connection even if the first was given a pooled one.
-RESUMES = 2
+MAX_RESUMES = 2
 # The finish reason of an answer that its limit has cut.
 CUT = "length"
 # Seconds after which a repeat makes sense when engines have failed: about
@@ -129,7 +129,7 @@
         if watched is None:
             raise self.failure("the stream's engine is not declared any more")
         index = position.index + 1
-        for _ in range(1 + RESUMES):
+        for _ in range(1 + MAX_RESUMES):
             stream = watched.client.resume(position.dispatch, index)
             try:
                 async with contextlib.aclosing(stream) as items:
@@ -228,7 +228,7 @@
         only add to the load.
         """
         report = await client.probe()
-        left = RESUMES
+        left = MAX_RESUMES
         while True:
             since = time.monotonic()
             stream = client.resume(dispatch.id, len(self.tokens))
