--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -24,7 +24,7 @@
 # is on a fresh connection even if the first was given a pooled one.
 MAX_RESUMES = 2
 # The finish reason of an answer that its limit has cut.
-CUT = "length"
+LENGTH_FINISH = "length"
 # Seconds after which a repeat makes sense when engines have failed: about
 # what a crashed engine needs to be noticed by all nodes.
 RETRY_AFTER = 2.0
@@ -209,7 +209,10 @@
             self.finish = None
             dispatch.prior = list(self.tokens)
             return
-        if self.finish.reason == CUT and self.request.output_tokens > 1:
+        if (
+            self.finish.reason == LENGTH_FINISH
+            and self.request.output_tokens > 1
+        ):
             self.finish = None
         dispatch.prior = list(self.tokens)
         dispatch.prefill_from = watched.declared.address
