--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -30,7 +30,7 @@
 RETRY_AFTER = 2.0
 
 
-class Part(NamedTuple):
+class AnswerToken(NamedTuple):
     """One token for the caller, and where it came from.
 
     Attributes:
@@ -77,7 +77,7 @@
         self.finish: tokens.Finish | None = None
         self.started = False
 
-    async def parts(self) -> AsyncIterator[Part]:
+    async def parts(self) -> AsyncIterator[AnswerToken]:
         """Yields the tokens of the answer, each once and in order.
 
         Raises:
@@ -115,7 +115,7 @@
 
     async def resumed(
         self, position: resumption.Position
-    ) -> AsyncIterator[Part]:
+    ) -> AsyncIterator[AnswerToken]:
         """Yields what follows a position, from the engine that has it.
 
         Args:
@@ -138,7 +138,7 @@
                             self.finish = item
                             continue
                         index = item.index + 1
-                        yield Part(
+                        yield AnswerToken(
                             item.text,
                             item.index,
                             position.endpoint,
@@ -160,7 +160,9 @@
                 raise
             raise self.failure(error.detail, error.retry_after) from error
 
-    async def attempt(self, grant: dispatching.Grant) -> AsyncIterator[Part]:
+    async def attempt(
+        self, grant: dispatching.Grant
+    ) -> AsyncIterator[AnswerToken]:
         """Yields what one engine adds, resuming there where it can."""
         watched = self.fleet.endpoints.get(grant.replica)
         if watched is None:
@@ -189,7 +191,7 @@
 
     async def prefill(
         self, grant: dispatching.Grant, dispatch: engines.Dispatch
-    ) -> AsyncIterator[Part]:
+    ) -> AsyncIterator[AnswerToken]:
         """Has the prompt processed by another engine, if one is granted.
 
         That engine gives one token; the KV cache then moves from engine to
@@ -222,7 +224,7 @@
         client: engines.EngineClient,
         grant: dispatching.Grant,
         dispatch: engines.Dispatch,
-    ) -> AsyncIterator[Part]:
+    ) -> AsyncIterator[AnswerToken]:
         """Goes on with a broken stream on the engine that has it.
 
         The engine is probed on a fresh connection first, since the silence
@@ -271,7 +273,7 @@
         stream: AsyncIterator[tokens.StreamItem],
         grant: dispatching.Grant,
         dispatch: engines.Dispatch,
-    ) -> AsyncIterator[Part]:
+    ) -> AsyncIterator[AnswerToken]:
         """Counts the tokens of one stream in and notes its finish."""
         async with contextlib.aclosing(stream) as items:
             async for item in items:
@@ -280,7 +282,9 @@
                     continue
                 grant.token()
                 self.tokens.append(item.text)
-                yield Part(item.text, item.index, grant.replica, dispatch.id)
+                yield AnswerToken(
+                    item.text, item.index, grant.replica, dispatch.id
+                )
 
     def give_up_if_not_repeatable(
         self, error: exceptions.EndpointError
--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -161,7 +161,7 @@
         self,
         request: web.Request,
         answer: answers.Answer,
-        source: AsyncIterator[answers.Part],
+        source: AsyncIterator[answers.AnswerToken],
     ) -> web.StreamResponse:
         """Answers with server-sent events.
 
@@ -232,7 +232,7 @@
             await asyncio.sleep(COMMENT_INTERVAL)
             await self.response.write(sse.COMMENT)
 
-    async def token(self, part: answers.Part) -> None:
+    async def token(self, part: answers.AnswerToken) -> None:
         """Sends one token with the position after it."""
         await self.start()
         self.request[progress.KEY].record_answer_start()
