--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -113,7 +113,7 @@
             )
         raise self.failure("no engine could complete the answer")
 
-    async def resumed(
+    async def resume_stream(
         self, position: resumption.Position
     ) -> AsyncIterator[AnswerToken]:
         """Yields what follows a position, from the engine that has it.
--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -81,7 +81,9 @@
         last = request.headers.get("Last-Event-ID")
         if last:
             position = self.positions.verify(last, state.account)
-            return await self.stream(request, answer, answer.resumed(position))
+            return await self.stream(
+                request, answer, answer.resume_stream(position)
+            )
         if body.stream:
             return await self.stream(request, answer, answer.parts())
         return await self.whole(request, answer)
