--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -177,7 +177,7 @@
             if self.finish is not None:
                 return
             first = client.start(dispatch)
-            async for part in self.take(first, grant, dispatch):
+            async for part in self.collect(first, grant, dispatch):
                 yield part
         except exceptions.EndpointNotStarted:
             self.started = before
@@ -203,7 +203,7 @@
             return
         short = msgspec.structs.replace(dispatch, max_tokens=1)
         try:
-            async for part in self.take(
+            async for part in self.collect(
                 watched.client.start(short), grant, short
             ):
                 yield part
@@ -238,7 +238,7 @@
             since = time.monotonic()
             stream = client.resume(dispatch.id, len(self.tokens))
             try:
-                async for part in self.take(stream, grant, dispatch):
+                async for part in self.collect(stream, grant, dispatch):
                     yield part
                 return
             except exceptions.EndpointNotStarted as error:
@@ -268,7 +268,7 @@
             self.request.urgency,
         )
 
-    async def take(
+    async def collect(
         self,
         stream: AsyncIterator[tokens.StreamItem],
         grant: dispatching.Grant,
