--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -168,7 +168,7 @@
         if watched is None:
             raise exceptions.EndpointNotStarted("the endpoint was dropped")
         client = watched.client
-        dispatch = self.dispatch()
+        dispatch = self.make_dispatch()
         before = self.started
         self.started = True
         try:
@@ -257,7 +257,7 @@
                 if not left:
                     raise
 
-    def dispatch(self) -> engines.Dispatch:
+    def make_dispatch(self) -> engines.Dispatch:
         """Makes a fresh dispatch of what is still missing."""
         return engines.Dispatch(
             self.new_id(),
