--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -98,7 +98,7 @@
                 self.fleet.suspend(grant.replica)
             except exceptions.EndpointError as error:
                 finish = types.Finish.FAILED
-                self.give_up_if_not_repeatable(error)
+                self.raise_if_not_repeatable(error)
             finally:
                 grant.finish(finish)
             if not await self.dispatcher.retry(request, attempts):
@@ -286,9 +286,7 @@
                     item.text, item.index, grant.replica, dispatch.id
                 )
 
-    def give_up_if_not_repeatable(
-        self, error: exceptions.EndpointError
-    ) -> None:
+    def raise_if_not_repeatable(self, error: exceptions.EndpointError) -> None:
         """Ends a request that may not be sent to a second engine."""
         self.started = True
         if self.request.repeatable:
