--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -46,7 +46,7 @@
     dispatch: str
 
 
-class Answer:
+class EngineAnswer:
     """Drives one request to its whole answer.
 
     A broken stream is resumed on the same engine; if that fails and the
--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -71,7 +71,7 @@
         service, model = models.resolve(self.node.configuration, body.model)
         wanted = self.describe(request, service, model, body)
         state.request = wanted
-        answer = answers.Answer(
+        answer = answers.EngineAnswer(
             self.node.dispatcher(service),
             self.node.fleet,
             wanted,
@@ -129,7 +129,7 @@
         )
 
     async def whole(
-        self, request: web.Request, answer: answers.Answer
+        self, request: web.Request, answer: answers.EngineAnswer
     ) -> web.Response:
         """Answers with one JSON document."""
         parts = answer.parts()
@@ -162,7 +162,7 @@
     async def stream(
         self,
         request: web.Request,
-        answer: answers.Answer,
+        answer: answers.EngineAnswer,
         source: AsyncIterator[answers.AnswerToken],
     ) -> web.StreamResponse:
         """Answers with server-sent events.
@@ -210,7 +210,7 @@
         self,
         request: web.Request,
         response: web.StreamResponse,
-        answer: answers.Answer,
+        answer: answers.EngineAnswer,
         positions: resumption.PositionSigner,
     ):
         self.request = request
@@ -289,7 +289,7 @@
 
 
 @contextlib.asynccontextmanager
-async def deadline(answer: answers.Answer):
+async def deadline(answer: answers.EngineAnswer):
     """Gives an answer up at its deadline.
 
     Raises:
