--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -189,7 +189,7 @@
                 yield part
         finally:
             if self.started and self.finish is None:
-                abandon(client, dispatch.id)
+                cancel_in_background(client, dispatch.id)
 
     async def prefill(
         self, grant: dispatching.Grant, dispatch: engines.Dispatch
@@ -317,7 +317,9 @@
 _cancellations: set[asyncio.Task] = set()
 
 
-def abandon(client: engines.EngineClient, dispatch_id: str) -> None:
+def cancel_in_background(
+    client: engines.EngineClient, dispatch_id: str
+) -> None:
     """Cancels a dispatch without waiting for it."""
     task = asyncio.create_task(client.cancel(dispatch_id))
     _cancellations.add(task)
