--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -25,7 +25,7 @@
 
 # Seconds for which a key may be used. Longer than a caller's retries (a few
 # deadlines of 60 s); short enough that the bounds below refuse few.
-LIFETIME = 600.0
+KEY_LIFETIME_SECONDS = 600.0
 # Keys that one node keeps in memory, and those of one account. With answers
 # of 8 KiB at the most, 2,000 keys take 16 MB, a quarter of a node's memory
 # for control; no account may take it all.
@@ -105,7 +105,7 @@
                 max(1.0, oldest.expires - time.monotonic()),
             )
         number = next(self.numbers)
-        expires = time.monotonic() + LIFETIME
+        expires = time.monotonic() + KEY_LIFETIME_SECONDS
         self.issued[number] = Issued(account, expires)
         self.accounts[account] += 1
         address = self.node.settings.node.address
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -69,7 +69,7 @@
     async def post_key(self, request: web.Request) -> web.Response:
         """Gives out a key that is bound to this node."""
         key = self.bound.issue(request[progress.KEY].account)
-        body = {"key": key, "expires_in": bound.LIFETIME}
+        body = {"key": key, "expires_in": bound.KEY_LIFETIME_SECONDS}
         return web.Response(
             status=201,
             body=msgspec.json.encode(body),
