--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -29,7 +29,7 @@
 # Keys that one node keeps in memory, and those of one account. With answers
 # of 8 KiB at the most, 2,000 keys take 16 MB, a quarter of a node's memory
 # for control; no account may take it all.
-MOST_KEYS = 2000
+MAX_KEYS = 2000
 MOST_KEYS_OF_ACCOUNT = 500
 # Bytes of a body that can be forwarded: a call between nodes has 64 KiB.
 FORWARDED_BYTES = 48 * 1024
@@ -96,7 +96,7 @@
             exceptions.Refused: Too many are in use.
         """
         self.expire()
-        full = len(self.issued) >= MOST_KEYS
+        full = len(self.issued) >= MAX_KEYS
         if full or self.accounts[account] >= MOST_KEYS_OF_ACCOUNT:
             oldest = next(iter(self.issued.values()))
             raise exceptions.Refused(
