--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -30,7 +30,7 @@
 # of 8 KiB at the most, 2,000 keys take 16 MB, a quarter of a node's memory
 # for control; no account may take it all.
 MAX_KEYS = 2000
-MOST_KEYS_OF_ACCOUNT = 500
+MAX_KEYS_PER_ACCOUNT = 500
 # Bytes of a body that can be forwarded: a call between nodes has 64 KiB.
 FORWARDED_BYTES = 48 * 1024
 # Bytes of an answer that can be sent back: a reply has 1 MiB.
@@ -97,7 +97,7 @@
         """
         self.expire()
         full = len(self.issued) >= MAX_KEYS
-        if full or self.accounts[account] >= MOST_KEYS_OF_ACCOUNT:
+        if full or self.accounts[account] >= MAX_KEYS_PER_ACCOUNT:
             oldest = next(iter(self.issued.values()))
             raise exceptions.Refused(
                 "too many keys are in use",
