--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -32,7 +32,7 @@
 MAX_KEYS = 2000
 MAX_KEYS_PER_ACCOUNT = 500
 # Bytes of a body that can be forwarded: a call between nodes has 64 KiB.
-FORWARDED_BYTES = 48 * 1024
+MAX_FORWARDED_BODY_BYTES = 48 * 1024
 # Bytes of an answer that can be sent back: a reply has 1 MiB.
 RETURNED_BYTES = 512 * 1024
 # Seconds that the reply may come after the call's own deadline.
@@ -174,7 +174,7 @@
         self, text: str, key: Key, order: dispatches.Order
     ) -> kept.CallResult:
         """Has the key's own incarnation serve the request."""
-        if len(order.body) > FORWARDED_BYTES:
+        if len(order.body) > MAX_FORWARDED_BODY_BYTES:
             return kept.CallResult(None, too_large())
         wanted = order.wanted
         left = max(0.0, wanted.deadline - time.monotonic())
@@ -211,6 +211,6 @@
 def too_large() -> exceptions.RequestInvalid:
     """Makes the error of a body that cannot be forwarded."""
     return exceptions.RequestInvalid(
-        f"under a bound key, bodies have {FORWARDED_BYTES} bytes at the most",
+        f"under a bound key, bodies have {MAX_FORWARDED_BODY_BYTES} bytes at the most",
         outcomes.Outcome.UNDETERMINED,
     )
