--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -34,7 +34,7 @@
 # Bytes of a body that can be forwarded: a call between nodes has 64 KiB.
 MAX_FORWARDED_BODY_BYTES = 48 * 1024
 # Bytes of an answer that can be sent back: a reply has 1 MiB.
-RETURNED_BYTES = 512 * 1024
+MAX_RETURNED_ANSWER_BYTES = 512 * 1024
 # Seconds that the reply may come after the call's own deadline.
 GRACE = 0.5
 
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -110,7 +110,10 @@
         order = order._replace(wanted=wanted)
         ending = await self.bound.run_here(key, digest_of(order), order)
         answer = ending.answer
-        if answer is not None and len(answer.body) > bound.RETURNED_BYTES:
+        if (
+            answer is not None
+            and len(answer.body) > bound.MAX_RETURNED_ANSWER_BYTES
+        ):
             ending = kept.without_large_answer(ending)
         return kept.to_thrift(ending)
 
