--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -36,7 +36,7 @@
 # Bytes of an answer that can be sent back: a reply has 1 MiB.
 MAX_RETURNED_ANSWER_BYTES = 512 * 1024
 # Seconds that the reply may come after the call's own deadline.
-GRACE = 0.5
+REPLY_GRACE_SECONDS = 0.5
 
 
 class Key(NamedTuple):
@@ -187,7 +187,7 @@
                 "calls.bound",
                 message,
                 thrift.CallEnding,
-                left + GRACE,
+                left + REPLY_GRACE_SECONDS,
             )
             return kept.from_thrift(reply)
         except exceptions.PeerError as error:
