--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -39,7 +39,7 @@
 REPLY_GRACE_SECONDS = 0.5
 
 
-class Key(NamedTuple):
+class BoundKey(NamedTuple):
     """What a bound key says, signed.
 
     Attributes:
@@ -109,7 +109,7 @@
         self.issued[number] = Issued(account, expires)
         self.accounts[account] += 1
         address = self.node.settings.node.address
-        key = Key(self.node.incarnation, address, number, account)
+        key = BoundKey(self.node.incarnation, address, number, account)
         return self.signer.dumps(list(key))
 
     def expire(self) -> None:
@@ -123,16 +123,16 @@
             del self.issued[number]
             self.accounts[issued.account] -= 1
 
-    def read(self, text: str, account: str) -> Key | None:
+    def read(self, text: str, account: str) -> BoundKey | None:
         """Checks a key; None where it was not signed for this account."""
         try:
-            key = Key(*self.signer.loads(text))
+            key = BoundKey(*self.signer.loads(text))
         except (itsdangerous.BadData, TypeError):
             return None
         return key if key.account == account else None
 
     async def call(
-        self, text: str, key: Key, digest: str, order: dispatches.Order
+        self, text: str, key: BoundKey, digest: str, order: dispatches.Order
     ) -> kept.CallResult:
         """Serves one request under a key that `read` accepted."""
         if key.incarnation == self.node.incarnation:
@@ -140,7 +140,7 @@
         return await self.forward(text, key, order)
 
     async def run_here(
-        self, key: Key, digest: str, order: dispatches.Order
+        self, key: BoundKey, digest: str, order: dispatches.Order
     ) -> kept.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
         self.expire()
@@ -171,7 +171,7 @@
             return kept.CallResult(None, error)
 
     async def forward(
-        self, text: str, key: Key, order: dispatches.Order
+        self, text: str, key: BoundKey, order: dispatches.Order
     ) -> kept.CallResult:
         """Has the key's own incarnation serve the request."""
         if len(order.body) > MAX_FORWARDED_BODY_BYTES:
