--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -55,7 +55,7 @@
     account: str
 
 
-class Issued:
+class IssuedKey:
     """A key that this incarnation gave out.
 
     Attributes:
@@ -85,7 +85,7 @@
         self.signer = itsdangerous.URLSafeSerializer(
             node.settings.peers.secret, salt="gypsumfold-bound-key"
         )
-        self.issued: dict[int, Issued] = {}
+        self.issued: dict[int, IssuedKey] = {}
         self.accounts: collections.Counter[str] = collections.Counter()
         self.numbers = itertools.count(1)
 
@@ -106,7 +106,7 @@
             )
         number = next(self.numbers)
         expires = time.monotonic() + KEY_LIFETIME_SECONDS
-        self.issued[number] = Issued(account, expires)
+        self.issued[number] = IssuedKey(account, expires)
         self.accounts[account] += 1
         address = self.node.settings.node.address
         key = BoundKey(self.node.incarnation, address, number, account)
