--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -123,7 +123,7 @@
             del self.issued[number]
             self.accounts[issued.account] -= 1
 
-    def read(self, text: str, account: str) -> BoundKey | None:
+    def verify(self, text: str, account: str) -> BoundKey | None:
         """Checks a key; None where it was not signed for this account."""
         try:
             key = BoundKey(*self.signer.loads(text))
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -92,14 +92,14 @@
         canonical = claims.canonical_key(key)
         if canonical:
             return await self.keyed.call(canonical, digest, order)
-        issued = self.bound.read(key, order.wanted.account)
+        issued = self.bound.verify(key, order.wanted.account)
         if issued is None:
             return kept.CallResult(None, invalid_key())
         return await self.bound.call(key, issued, digest, order)
 
     async def on_bound(self, message, address: str):
         """Serves another node's request under a key of this one."""
-        key = self.bound.read(message.key, message.account)
+        key = self.bound.verify(message.key, message.account)
         if key is None or key.incarnation != self.node.incarnation:
             raise exceptions.PeerRefused("another incarnation's key")
         order = self.order(
