--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -95,7 +95,7 @@
         Raises:
             exceptions.Refused: Too many are in use.
         """
-        self.expire()
+        self.remove_expired()
         full = len(self.issued) >= MAX_KEYS
         if full or self.accounts[account] >= MAX_KEYS_PER_ACCOUNT:
             oldest = next(iter(self.issued.values()))
@@ -112,7 +112,7 @@
         key = BoundKey(self.node.incarnation, address, number, account)
         return self.signer.dumps(list(key))
 
-    def expire(self) -> None:
+    def remove_expired(self) -> None:
         """Forgets keys that may no longer be used."""
         now = time.monotonic()
         for number, issued in list(self.issued.items()):
@@ -143,7 +143,7 @@
         self, key: BoundKey, digest: str, order: dispatches.Order
     ) -> kept.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
-        self.expire()
+        self.remove_expired()
         issued = self.issued.get(key.number)
         if issued is None:
             return kept.CallResult(
