--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -72,7 +72,7 @@
         self.task: asyncio.Future[kept.CallResult] | None = None
 
 
-class Bound:
+class BoundCalls:
     """Gives bound keys out and serves calls under them.
 
     >>> key = bound.issue("airline")
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -37,7 +37,7 @@
         self.node = node
         self.dispatches = dispatches.Dispatches(node)
         self.keyed = keyed.Keyed(node)
-        self.bound = bound.Bound(node)
+        self.bound = bound.BoundCalls(node)
         node.peers.handle("calls.bound", thrift.BoundCall, self.on_bound)
 
     async def post(self, request: web.Request) -> web.Response:
