--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -160,7 +160,7 @@
             return kept.CallResult(None, refusals.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         ending = await asyncio.shield(issued.task)
-        issued.task = done(kept.without_large_answer(ending))
+        issued.task = completed_future(kept.without_large_answer(ending))
         return ending
 
     async def run(self, order: dispatches.Order) -> kept.CallResult:
@@ -201,7 +201,7 @@
             )
 
 
-def done(ending: kept.CallResult) -> asyncio.Future:
+def completed_future(ending: kept.CallResult) -> asyncio.Future:
     """Makes a future that already has its result."""
     future = asyncio.get_running_loop().create_future()
     future.set_result(ending)
