--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -175,7 +175,7 @@
     ) -> kept.CallResult:
         """Has the key's own incarnation serve the request."""
         if len(order.body) > MAX_FORWARDED_BODY_BYTES:
-            return kept.CallResult(None, too_large())
+            return kept.CallResult(None, body_too_large())
         wanted = order.wanted
         left = max(0.0, wanted.deadline - time.monotonic())
         message = thrift.BoundCall(
@@ -208,7 +208,7 @@
     return future
 
 
-def too_large() -> exceptions.RequestInvalid:
+def body_too_large() -> exceptions.RequestInvalid:
     """Makes the error of a body that cannot be forwarded."""
     return exceptions.RequestInvalid(
         f"under a bound key, bodies have {MAX_FORWARDED_BODY_BYTES} bytes at the most",
