--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -51,7 +51,7 @@
         state = request[progress.KEY]
         try:
             body = await bodies.read(request, self.node.settings.callers)
-            self.check(service)
+            self.check_service(service)
         except (exceptions.NotFound, exceptions.RequestInvalid) as error:
             raise unclaimed(request, error) from error
         order = self.order(state.account, service, call, body)
@@ -117,7 +117,7 @@
             ending = kept.without_large_answer(ending)
         return kept.to_thrift(ending)
 
-    def check(self, service: str) -> None:
+    def check_service(self, service: str) -> None:
         """Checks that a plain service is declared.
 
         Raises:
