--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -54,7 +54,7 @@
             self.check_service(service)
         except (exceptions.NotFound, exceptions.RequestInvalid) as error:
             raise unclaimed(request, error) from error
-        order = self.order(state.account, service, call, body)
+        order = self.make_service_call(state.account, service, call, body)
         state.request = order.wanted
         ending = await self.serve(order, request.headers.get(KEY_HEADER))
         answer = ending.unwrap()
@@ -102,7 +102,7 @@
         key = self.bound.verify(message.key, message.account)
         if key is None or key.incarnation != self.node.incarnation:
             raise exceptions.PeerRefused("another incarnation's key")
-        order = self.order(
+        order = self.make_service_call(
             message.account, message.service_name, message.call, message.body
         )
         deadline = min(order.wanted.deadline, time.monotonic() + message.limit)
@@ -130,7 +130,7 @@
                 outcomes.Outcome.NOT_RUN,
             )
 
-    def order(
+    def make_service_call(
         self, account: str, service: str, call: str, body: bytes
     ) -> dispatches.Order:
         """Makes what is to be run out of a request."""
