--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -88,7 +88,7 @@
                 return kept.CallResult(await self.dispatches.run(order), None)
             except exceptions.RequestError as error:
                 return kept.CallResult(None, refusals.as_undetermined(error))
-        digest = digest_of(order)
+        digest = compute_digest(order)
         canonical = claims.canonical_key(key)
         if canonical:
             return await self.keyed.call(canonical, digest, order)
@@ -108,7 +108,7 @@
         deadline = min(order.wanted.deadline, time.monotonic() + message.limit)
         wanted = order.wanted._replace(deadline=deadline)
         order = order._replace(wanted=wanted)
-        ending = await self.bound.run_here(key, digest_of(order), order)
+        ending = await self.bound.run_here(key, compute_digest(order), order)
         answer = ending.answer
         if (
             answer is not None
@@ -172,7 +172,7 @@
         await self.keyed.close()
 
 
-def digest_of(order: dispatches.Order) -> str:
+def compute_digest(order: dispatches.Order) -> str:
     """Digests what identifies a call: its service, name and body."""
     name = f"{order.wanted.service}\n{order.call}\n".encode()
     return hashlib.sha256(name + order.body).hexdigest()
