--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -53,7 +53,7 @@
             body = await bodies.read(request, self.node.settings.callers)
             self.check_service(service)
         except (exceptions.NotFound, exceptions.RequestInvalid) as error:
-            raise unclaimed(request, error) from error
+            raise before_key_check(request, error) from error
         order = self.make_service_call(state.account, service, call, body)
         state.request = order.wanted
         ending = await self.serve(order, request.headers.get(KEY_HEADER))
@@ -187,7 +187,7 @@
     )
 
 
-def unclaimed(
+def before_key_check(
     request: web.Request, error: exceptions.RequestError
 ) -> exceptions.RequestError:
     """Takes the promise out of an error made before the key was looked at.
--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -129,7 +129,7 @@
             error = exceptions.Unavailable(
                 "this node is not ready", outcomes.Outcome.NOT_RUN, 1.0
             )
-            raise calls.unclaimed(request, error)
+            raise calls.before_key_check(request, error)
         account = accounts.find_account(self.node.configuration, request)
         request[progress.KEY].account = account
         return await handler(request)
