--- a/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
@@ -16,7 +16,7 @@
 # random; doubled with each failure up to LONGEST_PAUSE. A replica that
 # refuses is seen as leaving or silent within a few polls (0.25 s each).
 RETRY_DELAY_SECONDS = 0.05
-LONGEST_PAUSE = 0.8
+MAX_RETRY_DELAY_SECONDS = 0.8
 # Seconds after which a repeat by the caller makes sense where every replica
 # failed: a few polls of the replicas.
 RETRY_AFTER = 1.0
@@ -87,7 +87,9 @@
             failures += 1
             avoid = order.wanted.avoid | {grant.replica}
             order = order._replace(wanted=order.wanted._replace(avoid=avoid))
-            pause = min(LONGEST_PAUSE, RETRY_DELAY_SECONDS * 2**failures)
+            pause = min(
+                MAX_RETRY_DELAY_SECONDS, RETRY_DELAY_SECONDS * 2**failures
+            )
             await asyncio.sleep(pause * (1 + random.random()) / 2)
             if order.in_time() and permit():
                 continue
