--- a/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
@@ -38,7 +38,7 @@
     body: bytes
     expires: float
 
-    def in_time(self) -> bool:
+    def is_in_time(self) -> bool:
         """Whether the call may still begin."""
         return time.monotonic() < self.wanted.deadline and (
             time.time() < self.expires
@@ -91,7 +91,7 @@
                 MAX_RETRY_DELAY_SECONDS, RETRY_DELAY_SECONDS * 2**failures
             )
             await asyncio.sleep(pause * (1 + random.random()) / 2)
-            if order.in_time() and permit():
+            if order.is_in_time() and permit():
                 continue
             if sent:
                 raise undetermined(failure) from failure
@@ -139,7 +139,7 @@
                 order.body,
                 wanted.id,
                 left,
-                lambda: order.in_time() and permit(),
+                lambda: order.is_in_time() and permit(),
             )
             finish = types.Finish.DONE
             return answer
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -138,7 +138,7 @@
 
     async def advance(self, attempt: Attempt) -> kept.CallResult:
         """Takes one step after the other, as the claims allow."""
-        while attempt.order.in_time():
+        while attempt.order.is_in_time():
             step = self.claims.step(attempt.claim, attempt.read_back)
             if step == claims_module.Step.CLAIM:
                 await self.append(attempt)
