--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -179,7 +179,7 @@
         wanted = order.wanted
         left = max(0.0, wanted.deadline - time.monotonic())
         message = thrift.BoundCall(
-            wanted.account, wanted.service, order.call, text, order.body, left
+            wanted.account, wanted.service, order.name, text, order.body, left
         )
         try:
             reply = await self.node.peers.call(
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -174,7 +174,7 @@
 
 def compute_digest(order: dispatches.Order) -> str:
     """Digests what identifies a call: its service, name and body."""
-    name = f"{order.wanted.service}\n{order.call}\n".encode()
+    name = f"{order.wanted.service}\n{order.name}\n".encode()
     return hashlib.sha256(name + order.body).hexdigest()
 
 
--- a/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
@@ -34,7 +34,7 @@
     """
 
     wanted: types.Request
-    call: str
+    name: str
     body: bytes
     expires: float
 
@@ -135,7 +135,7 @@
                 raise exceptions.EndpointNotStarted("no longer declared")
             left = max(0.0, wanted.deadline - time.monotonic())
             answer = await watched.client.call(
-                order.call,
+                order.name,
                 order.body,
                 wanted.id,
                 left,
