--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -132,7 +132,11 @@
         return key if key.account == account else None
 
     async def call(
-        self, text: str, key: BoundKey, digest: str, order: dispatches.Order
+        self,
+        text: str,
+        key: BoundKey,
+        digest: str,
+        order: dispatches.ServiceCall,
     ) -> kept.CallResult:
         """Serves one request under a key that `read` accepted."""
         if key.incarnation == self.node.incarnation:
@@ -140,7 +144,7 @@
         return await self.forward(text, key, order)
 
     async def run_here(
-        self, key: BoundKey, digest: str, order: dispatches.Order
+        self, key: BoundKey, digest: str, order: dispatches.ServiceCall
     ) -> kept.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
         self.remove_expired()
@@ -163,7 +167,7 @@
         issued.task = completed_future(kept.without_large_answer(ending))
         return ending
 
-    async def run(self, order: dispatches.Order) -> kept.CallResult:
+    async def run(self, order: dispatches.ServiceCall) -> kept.CallResult:
         """Runs the one attempt; what it refuses cannot run any more."""
         try:
             return kept.CallResult(await self.dispatches.run(order), None)
@@ -171,7 +175,7 @@
             return kept.CallResult(None, error)
 
     async def forward(
-        self, text: str, key: BoundKey, order: dispatches.Order
+        self, text: str, key: BoundKey, order: dispatches.ServiceCall
     ) -> kept.CallResult:
         """Has the key's own incarnation serve the request."""
         if len(order.body) > MAX_FORWARDED_BODY_BYTES:
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -78,7 +78,7 @@
         )
 
     async def serve(
-        self, order: dispatches.Order, key: str | None
+        self, order: dispatches.ServiceCall, key: str | None
     ) -> kept.CallResult:
         """Serves one request in the way that its key asks for."""
         if key is None:
@@ -132,11 +132,11 @@
 
     def make_service_call(
         self, account: str, service: str, call: str, body: bytes
-    ) -> dispatches.Order:
+    ) -> dispatches.ServiceCall:
         """Makes what is to be run out of a request."""
         wanted = self.describe(account, service, call)
         limit = wanted.deadline - wanted.arrival
-        return dispatches.Order(wanted, call, body, time.time() + limit)
+        return dispatches.ServiceCall(wanted, call, body, time.time() + limit)
 
     def describe(self, account: str, service: str, call: str) -> types.Request:
         """Makes what decisions need to know of the call."""
@@ -172,7 +172,7 @@
         await self.keyed.close()
 
 
-def compute_digest(order: dispatches.Order) -> str:
+def compute_digest(order: dispatches.ServiceCall) -> str:
     """Digests what identifies a call: its service, name and body."""
     name = f"{order.wanted.service}\n{order.name}\n".encode()
     return hashlib.sha256(name + order.body).hexdigest()
--- a/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
@@ -22,7 +22,7 @@
 RETRY_AFTER = 1.0
 
 
-class Order(NamedTuple):
+class ServiceCall(NamedTuple):
     """One call of a caller.
 
     Attributes:
@@ -55,7 +55,7 @@
         self.node = node
 
     async def run(
-        self, order: Order, permit: Callable[[], bool] = lambda: True
+        self, order: ServiceCall, permit: Callable[[], bool] = lambda: True
     ) -> services.Answer:
         """Makes a call, on another replica too as long as it may.
 
@@ -101,7 +101,7 @@
                 RETRY_AFTER,
             ) from failure
 
-    async def admit(self, order: Order, sent: bool) -> dispatching.Grant:
+    async def admit(self, order: ServiceCall, sent: bool) -> dispatching.Grant:
         """Waits for permission to send to one replica.
 
         Raises:
@@ -119,7 +119,7 @@
     async def attempt(
         self,
         grant: dispatching.Grant,
-        order: Order,
+        order: ServiceCall,
         permit: Callable[[], bool],
     ) -> services.Answer:
         """Makes one dispatch.
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -49,7 +49,9 @@
         task: Runs it.
     """
 
-    def __init__(self, claim: claims_module.Claim, order: dispatches.Order):
+    def __init__(
+        self, claim: claims_module.Claim, order: dispatches.ServiceCall
+    ):
         self.claim = claim
         self.order = order
         self.claimed = False
@@ -99,7 +101,7 @@
             self.forget(attempt)
 
     async def call(
-        self, key: str, digest: str, order: dispatches.Order
+        self, key: str, digest: str, order: dispatches.ServiceCall
     ) -> kept.CallResult:
         """Serves one request under a key.
 
