--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -81,7 +81,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.dispatches = dispatches.Dispatches(node)
+        self.dispatches = dispatches.CallRunner(node)
         self.signer = itsdangerous.URLSafeSerializer(
             node.settings.peers.secret, salt="gypsumfold-bound-key"
         )
--- a/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/dispatches.py
@@ -45,7 +45,7 @@
         )
 
 
-class Dispatches:
+class CallRunner:
     """Sends calls to replicas, once each unless they may be repeated.
 
     >>> answer = await Dispatches(node).run(order)
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -83,7 +83,7 @@
         self.patience = node.settings.platform.timeout
         self.claims = claims_module.Claims(node.settings.platform.retention)
         self.batcher = batches.Batcher(node.log, records.CLAIMS)
-        self.dispatches = dispatches.Dispatches(node)
+        self.dispatches = dispatches.CallRunner(node)
         self.tail = node.tails[records.CLAIMS]
         self.tail.subscribe(self.apply, self.claims.gap)
         self.attempts: dict[Place, Attempt] = {}
