--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -86,7 +86,7 @@
             )
         if body.stream:
             return await self.stream(request, answer, answer.parts())
-        return await self.whole(request, answer)
+        return await self.send_complete(request, answer)
 
     def describe(
         self,
@@ -128,7 +128,7 @@
             service=service,
         )
 
-    async def whole(
+    async def send_complete(
         self, request: web.Request, answer: answers.EngineAnswer
     ) -> web.Response:
         """Answers with one JSON document."""
