--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -226,9 +226,9 @@
         if self.response.prepared:
             return
         await self.response.prepare(self.request)
-        self.comments = asyncio.create_task(self.comment())
+        self.comments = asyncio.create_task(self.send_comments())
 
-    async def comment(self) -> None:
+    async def send_comments(self) -> None:
         """Shows a silent caller now and then that the stream is alive."""
         while True:
             await asyncio.sleep(COMMENT_INTERVAL)
