--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -219,14 +219,14 @@
         self.positions = positions
         self.dispatch = ""
         self.prefix = ""
-        self.comments: asyncio.Task | None = None
+        self.comment_task: asyncio.Task | None = None
 
     async def start(self) -> None:
         """Sends the headers, once."""
         if self.response.prepared:
             return
         await self.response.prepare(self.request)
-        self.comments = asyncio.create_task(self.send_comments())
+        self.comment_task = asyncio.create_task(self.send_comments())
 
     async def send_comments(self) -> None:
         """Shows a silent caller now and then that the stream is alive."""
@@ -262,8 +262,8 @@
 
     async def close(self) -> None:
         """Ends the response."""
-        if self.comments is not None:
-            self.comments.cancel()
+        if self.comment_task is not None:
+            self.comment_task.cancel()
         if self.response.prepared:
             with contextlib.suppress(ConnectionError):
                 await self.response.write_eof()
