--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -133,7 +133,7 @@
     ) -> web.Response:
         """Answers with one JSON document."""
         parts = answer.parts()
-        async with deadline(answer), contextlib.aclosing(parts):
+        async with enforce_deadline(answer), contextlib.aclosing(parts):
             async for _ in parts:
                 request[progress.KEY].record_answer_start()
         finish = answer.finish
@@ -178,7 +178,7 @@
         )
         writer = EventWriter(request, response, answer, self.positions)
         try:
-            async with deadline(answer), contextlib.aclosing(source):
+            async with enforce_deadline(answer), contextlib.aclosing(source):
                 async for part in source:
                     await writer.token(part)
             await writer.finish(answer.finish)
@@ -289,7 +289,7 @@
 
 
 @contextlib.asynccontextmanager
-async def deadline(answer: answers.EngineAnswer):
+async def enforce_deadline(answer: answers.EngineAnswer):
     """Gives an answer up at its deadline.
 
     Raises:
