--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -26,7 +26,7 @@
 # Seconds for one question to the node that holds a key, and between two.
 # A heartbeat is 0.5 s; a node that is silent for longer is frozen, cut off
 # or gone, and the caller is told so at once.
-ASK_LIMIT = 1.0
+QUERY_TIMEOUT_SECONDS = 1.0
 ASK_INTERVAL = 1.0
 # Seconds without an answer from the log until keyed calls are refused at
 # once; a reset connection alone is replaced within half a second.
@@ -302,7 +302,7 @@
                     "calls.ask",
                     question,
                     thrift.ClaimState,
-                    min(ASK_LIMIT, attempt.left),
+                    min(QUERY_TIMEOUT_SECONDS, attempt.left),
                 )
             except exceptions.PeerError:
                 return None
