--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -27,7 +27,7 @@
 # A heartbeat is 0.5 s; a node that is silent for longer is frozen, cut off
 # or gone, and the caller is told so at once.
 QUERY_TIMEOUT_SECONDS = 1.0
-ASK_INTERVAL = 1.0
+QUERY_INTERVAL_SECONDS = 1.0
 # Seconds without an answer from the log until keyed calls are refused at
 # once; a reset connection alone is replaced within half a second.
 LOG_SILENCE = 2.0
@@ -283,7 +283,9 @@
             except exceptions.FrameInvalid as error:
                 raise refusals.holder_unreachable() from error
         try:
-            async with asyncio.timeout(min(ASK_INTERVAL, attempt.left)):
+            async with asyncio.timeout(
+                min(QUERY_INTERVAL_SECONDS, attempt.left)
+            ):
                 await attempt.changed.wait()
         except TimeoutError:
             return None
