--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -30,7 +30,7 @@
 QUERY_INTERVAL_SECONDS = 1.0
 # Seconds without an answer from the log until keyed calls are refused at
 # once; a reset connection alone is replaced within half a second.
-LOG_SILENCE = 2.0
+MAX_LOG_SILENCE_SECONDS = 2.0
 
 Place = tuple[str, str]
 
@@ -193,7 +193,7 @@
     def readable(self) -> bool:
         """Whether the window was read and the log is not known to be down."""
         silence = asyncio.get_running_loop().time() - self.tail.last_seen
-        up = self.tail.healthy or silence < LOG_SILENCE
+        up = self.tail.healthy or silence < MAX_LOG_SILENCE_SECONDS
         return up and self.tail.caught_up.is_set()
 
     def may_run(self, attempt: Attempt) -> bool:
