--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -32,7 +32,7 @@
 # once; a reset connection alone is replaced within half a second.
 MAX_LOG_SILENCE_SECONDS = 2.0
 
-Place = tuple[str, str]
+AccountKey = tuple[str, str]
 
 
 class Attempt:
@@ -62,7 +62,7 @@
         self.task: asyncio.Task | None = None
 
     @property
-    def place(self) -> Place:
+    def place(self) -> AccountKey:
         """The account and the key."""
         return (self.claim.account, self.claim.key)
 
@@ -86,7 +86,7 @@
         self.dispatches = dispatches.CallRunner(node)
         self.tail = node.tails[records.CLAIMS]
         self.tail.subscribe(self.apply, self.claims.gap)
-        self.attempts: dict[Place, Attempt] = {}
+        self.attempts: dict[AccountKey, Attempt] = {}
         self.sequence = itertools.count(1)
         node.peers.handle("calls.ask", thrift.ClaimQuestion, self.on_ask)
 
