--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -62,7 +62,7 @@
         self.task: asyncio.Task | None = None
 
     @property
-    def place(self) -> AccountKey:
+    def account_key(self) -> AccountKey:
         """The account and the key."""
         return (self.claim.account, self.claim.key)
 
@@ -148,7 +148,9 @@
             if step == claims_module.Step.DISPATCH:
                 return await self.dispatch(attempt)
             if step == claims_module.Step.ANSWER:
-                return kept.from_record(self.claims.outcome(*attempt.place))
+                return kept.from_record(
+                    self.claims.outcome(*attempt.account_key)
+                )
             if step != claims_module.Step.WAIT:
                 raise refusals.cannot_run(step)
             ending = await self.wait(attempt)
@@ -245,7 +247,7 @@
 
     def open_claims(self, attempt: Attempt) -> list[str]:
         """The claims of the attempt's key that still count."""
-        slot = self.claims.key_states.get(attempt.place)
+        slot = self.claims.key_states.get(attempt.account_key)
         return [] if slot is None else slot.claims
 
     def release(self, attempt: Attempt, closes: bool) -> None:
@@ -271,7 +273,7 @@
             exceptions.AnswerUndetermined: Nobody can tell.
         """
         attempt.changed.clear()
-        winner = self.claims.winner(*attempt.place)
+        winner = self.claims.winner(*attempt.account_key)
         state = await self.ask(winner, attempt)
         if attempt.changed.is_set():
             return None
@@ -297,7 +299,7 @@
         for peer in self.node.peers.recently_seen():
             if peer.incarnation != incarnation:
                 continue
-            question = thrift.ClaimQuestion(winner, *attempt.place)
+            question = thrift.ClaimQuestion(winner, *attempt.account_key)
             try:
                 return await self.node.peers.call(
                     peer.address,
@@ -331,7 +333,7 @@
             return
         step = self.claims.step(attempt.claim, attempt.read_back)
         if step != claims_module.Step.DISPATCH:
-            self.attempts.pop(attempt.place, None)
+            self.attempts.pop(attempt.account_key, None)
 
     async def close(self) -> None:
         """Waits for attempts in progress and for their records."""
