--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -67,7 +67,7 @@
         return (self.claim.account, self.claim.key)
 
     @property
-    def left(self) -> float:
+    def time_left(self) -> float:
         """Seconds until the deadline."""
         return max(0.0, self.order.wanted.deadline - time.monotonic())
 
@@ -177,7 +177,7 @@
             raise refusals.out_of_window(age)
         if not self.readable():
             raise refusals.claim_failed("the log cannot be read")
-        patience = min(self.patience, attempt.left)
+        patience = min(self.patience, attempt.time_left)
         try:
             offset = await self.batcher.append(attempt.claim, patience)
             attempt.claimed = True
@@ -286,7 +286,7 @@
                 raise refusals.holder_unreachable() from error
         try:
             async with asyncio.timeout(
-                min(QUERY_INTERVAL_SECONDS, attempt.left)
+                min(QUERY_INTERVAL_SECONDS, attempt.time_left)
             ):
                 await attempt.changed.wait()
         except TimeoutError:
@@ -306,7 +306,7 @@
                     "calls.ask",
                     question,
                     thrift.ClaimState,
-                    min(QUERY_TIMEOUT_SECONDS, attempt.left),
+                    min(QUERY_TIMEOUT_SECONDS, attempt.time_left),
                 )
             except exceptions.PeerError:
                 return None
