--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -80,7 +80,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.patience = node.settings.platform.timeout
+        self.claim_timeout = node.settings.platform.timeout
         self.claims = claims_module.Claims(node.settings.platform.retention)
         self.batcher = batches.Batcher(node.log, records.CLAIMS)
         self.dispatches = dispatches.CallRunner(node)
@@ -177,7 +177,7 @@
             raise refusals.out_of_window(age)
         if not self.readable():
             raise refusals.claim_failed("the log cannot be read")
-        patience = min(self.patience, attempt.time_left)
+        patience = min(self.claim_timeout, attempt.time_left)
         try:
             offset = await self.batcher.append(attempt.claim, patience)
             attempt.claimed = True
@@ -238,7 +238,7 @@
     async def until_closed(self, attempt: Attempt) -> None:
         """Waits for the release to be read back, as long as a claim may."""
         try:
-            async with asyncio.timeout(self.patience):
+            async with asyncio.timeout(self.claim_timeout):
                 while attempt.claim.id in self.open_claims(attempt):
                     attempt.changed.clear()
                     await attempt.changed.wait()
@@ -339,4 +339,4 @@
         """Waits for attempts in progress and for their records."""
         tasks = [a.task for a in self.attempts.values()]
         await asyncio.gather(*tasks, return_exceptions=True)
-        await self.batcher.flush(self.patience)
+        await self.batcher.flush(self.claim_timeout)
