--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -175,7 +175,7 @@
         age = self.claims.age(attempt.claim.key, now)
         if age != claims_module.Age.VALID:
             raise refusals.out_of_window(age)
-        if not self.readable():
+        if not self.is_log_readable():
             raise refusals.claim_failed("the log cannot be read")
         patience = min(self.claim_timeout, attempt.time_left)
         try:
@@ -192,7 +192,7 @@
             ) from error
         attempt.read_back = True
 
-    def readable(self) -> bool:
+    def is_log_readable(self) -> bool:
         """Whether the window was read and the log is not known to be down."""
         silence = asyncio.get_running_loop().time() - self.tail.last_seen
         up = self.tail.healthy or silence < MAX_LOG_SILENCE_SECONDS
