--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -198,7 +198,7 @@
         up = self.tail.healthy or silence < MAX_LOG_SILENCE_SECONDS
         return up and self.tail.caught_up.is_set()
 
-    def may_run(self, attempt: Attempt) -> bool:
+    def can_run(self, attempt: Attempt) -> bool:
         """Whether the attempt may dispatch at this instant."""
         step = self.claims.step(attempt.claim, attempt.read_back)
         return step == claims_module.Step.DISPATCH and not attempt.released
@@ -207,7 +207,7 @@
         """Runs the call: the claim is the winning one."""
         try:
             answer = await self.dispatches.run(
-                attempt.order, lambda: self.may_run(attempt)
+                attempt.order, lambda: self.can_run(attempt)
             )
             ending = kept.CallResult(answer, None)
         except exceptions.RequestError as error:
