--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -229,13 +229,13 @@
         """
         if attempt.claimed:
             self.release(attempt, closes=True)
-            await self.until_closed(attempt)
+            await self.wait_until_closed(attempt)
         step = self.claims.step(attempt.claim, attempt.read_back)
         if step == claims_module.Step.CLOSED:
             return kept.CallResult(None, error)
         return kept.CallResult(None, refusals.as_undetermined(error))
 
-    async def until_closed(self, attempt: Attempt) -> None:
+    async def wait_until_closed(self, attempt: Attempt) -> None:
         """Waits for the release to be read back, as long as a claim may."""
         try:
             async with asyncio.timeout(self.claim_timeout):
