--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -274,7 +274,7 @@
         """
         attempt.changed.clear()
         winner = self.claims.winner(*attempt.account_key)
-        state = await self.ask(winner, attempt)
+        state = await self.query_holder(winner, attempt)
         if attempt.changed.is_set():
             return None
         if state is None or not state.known:
@@ -293,7 +293,7 @@
             return None
         return None
 
-    async def ask(self, winner: str, attempt: Attempt):
+    async def query_holder(self, winner: str, attempt: Attempt):
         """Asks the node that made a claim; None where it does not answer."""
         incarnation = claims_module.incarnation_of(winner)
         for peer in self.node.peers.recently_seen():
