--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -88,7 +88,9 @@
         self.tail.subscribe(self.apply, self.claims.gap)
         self.attempts: dict[AccountKey, Attempt] = {}
         self.sequence = itertools.count(1)
-        node.peers.handle("calls.ask", thrift.ClaimQuestion, self.on_ask)
+        node.peers.handle(
+            "calls.ask", thrift.ClaimQuestion, self.on_claim_question
+        )
 
     def apply(self, entry: records.Entry) -> None:
         """Takes an entry of the claims stream and wakes whom it concerns."""
@@ -312,7 +314,7 @@
                 return None
         return None
 
-    async def on_ask(self, message, address: str):
+    async def on_claim_question(self, message, address: str):
         """Serves another node's question."""
         place = (message.account, message.key)
         attempt = self.attempts.get(place)
