--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -100,7 +100,7 @@
             if attempt is None:
                 continue
             attempt.changed.set()
-            self.forget(attempt)
+            self.remove_ended(attempt)
 
     async def call(
         self, key: str, digest: str, order: dispatches.ServiceCall
@@ -137,7 +137,7 @@
         if attempt.claimed and not attempt.released:
             self.release(attempt, closes=False)
         attempt.ending = ending
-        self.forget(attempt)
+        self.remove_ended(attempt)
         return ending
 
     async def advance(self, attempt: Attempt) -> kept.CallResult:
@@ -329,7 +329,7 @@
         ending = kept.to_thrift(kept.from_record(outcome))
         return thrift.ClaimState(known=True, ending=ending)
 
-    def forget(self, attempt: Attempt) -> None:
+    def remove_ended(self, attempt: Attempt) -> None:
         """Drops an ended attempt once the log tells its end to all."""
         if attempt.ending is None:
             return
