--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -36,7 +36,7 @@
     def __init__(self, node):
         self.node = node
         self.dispatches = dispatches.CallRunner(node)
-        self.keyed = keyed.Keyed(node)
+        self.keyed = keyed.KeyedCalls(node)
         self.bound = bound.BoundCalls(node)
         node.peers.handle("calls.bound", thrift.BoundCall, self.on_bound)
 
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -72,7 +72,7 @@
         return max(0.0, self.order.wanted.deadline - time.monotonic())
 
 
-class Keyed:
+class KeyedCalls:
     """Serves keyed calls on one node.
 
     >>> answer = await keyed.call(key, digest, order)
