--- a/packages/gypsumfold/src/gypsumfold/callers/bound.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound.py
@@ -16,8 +16,8 @@
 
 from gypsumfold import exceptions
 from gypsumfold import outcomes
+from gypsumfold.callers import call_results
 from gypsumfold.callers import dispatches
-from gypsumfold.callers import kept
 from gypsumfold.callers import refusals
 from gypsumfold.peers import framing
 
@@ -69,7 +69,7 @@
         self.account = account
         self.expires = expires
         self.digest = ""
-        self.task: asyncio.Future[kept.CallResult] | None = None
+        self.task: asyncio.Future[call_results.CallResult] | None = None
 
 
 class BoundCalls:
@@ -137,7 +137,7 @@
         key: BoundKey,
         digest: str,
         order: dispatches.ServiceCall,
-    ) -> kept.CallResult:
+    ) -> call_results.CallResult:
         """Serves one request under a key that `read` accepted."""
         if key.incarnation == self.node.incarnation:
             return await self.run_here(key, digest, order)
@@ -145,12 +145,12 @@
 
     async def run_here(
         self, key: BoundKey, digest: str, order: dispatches.ServiceCall
-    ) -> kept.CallResult:
+    ) -> call_results.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
         self.remove_expired()
         issued = self.issued.get(key.number)
         if issued is None:
-            return kept.CallResult(
+            return call_results.CallResult(
                 None,
                 exceptions.KeyExpired(
                     "this key has expired; what ran under it is forgotten",
@@ -161,25 +161,31 @@
             issued.digest = digest
             issued.task = asyncio.create_task(self.run(order))
         if issued.digest != digest:
-            return kept.CallResult(None, refusals.conflict())
+            return call_results.CallResult(None, refusals.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         ending = await asyncio.shield(issued.task)
-        issued.task = completed_future(kept.without_large_answer(ending))
+        issued.task = completed_future(
+            call_results.without_large_answer(ending)
+        )
         return ending
 
-    async def run(self, order: dispatches.ServiceCall) -> kept.CallResult:
+    async def run(
+        self, order: dispatches.ServiceCall
+    ) -> call_results.CallResult:
         """Runs the one attempt; what it refuses cannot run any more."""
         try:
-            return kept.CallResult(await self.dispatches.run(order), None)
+            return call_results.CallResult(
+                await self.dispatches.run(order), None
+            )
         except exceptions.RequestError as error:
-            return kept.CallResult(None, error)
+            return call_results.CallResult(None, error)
 
     async def forward(
         self, text: str, key: BoundKey, order: dispatches.ServiceCall
-    ) -> kept.CallResult:
+    ) -> call_results.CallResult:
         """Has the key's own incarnation serve the request."""
         if len(order.body) > MAX_FORWARDED_BODY_BYTES:
-            return kept.CallResult(None, body_too_large())
+            return call_results.CallResult(None, body_too_large())
         wanted = order.wanted
         left = max(0.0, wanted.deadline - time.monotonic())
         message = thrift.BoundCall(
@@ -193,9 +199,9 @@
                 thrift.CallEnding,
                 left + REPLY_GRACE_SECONDS,
             )
-            return kept.from_thrift(reply)
+            return call_results.from_thrift(reply)
         except exceptions.PeerError as error:
-            return kept.CallResult(
+            return call_results.CallResult(
                 None,
                 exceptions.AnswerUndetermined(
                     f"the node that gave this key does not answer: {error!r}",
@@ -205,7 +211,7 @@
             )
 
 
-def completed_future(ending: kept.CallResult) -> asyncio.Future:
+def completed_future(ending: call_results.CallResult) -> asyncio.Future:
     """Makes a future that already has its result."""
     future = asyncio.get_running_loop().create_future()
     future.set_result(ending)
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -13,8 +13,8 @@
 from gypsumfold.callers import accounts
 from gypsumfold.callers import bodies
 from gypsumfold.callers import bound
+from gypsumfold.callers import call_results
 from gypsumfold.callers import dispatches
-from gypsumfold.callers import kept
 from gypsumfold.callers import keyed
 from gypsumfold.callers import progress
 from gypsumfold.callers import refusals
@@ -79,22 +79,28 @@
 
     async def serve(
         self, order: dispatches.ServiceCall, key: str | None
-    ) -> kept.CallResult:
+    ) -> call_results.CallResult:
         """Serves one request in the way that its key asks for."""
         if key is None:
-            return kept.CallResult(await self.dispatches.run(order), None)
+            return call_results.CallResult(
+                await self.dispatches.run(order), None
+            )
         if order.wanted.repeatable:
             try:
-                return kept.CallResult(await self.dispatches.run(order), None)
+                return call_results.CallResult(
+                    await self.dispatches.run(order), None
+                )
             except exceptions.RequestError as error:
-                return kept.CallResult(None, refusals.as_undetermined(error))
+                return call_results.CallResult(
+                    None, refusals.as_undetermined(error)
+                )
         digest = compute_digest(order)
         canonical = claims.canonical_key(key)
         if canonical:
             return await self.keyed.call(canonical, digest, order)
         issued = self.bound.verify(key, order.wanted.account)
         if issued is None:
-            return kept.CallResult(None, invalid_key())
+            return call_results.CallResult(None, invalid_key())
         return await self.bound.call(key, issued, digest, order)
 
     async def on_bound(self, message, address: str):
@@ -114,8 +120,8 @@
             answer is not None
             and len(answer.body) > bound.MAX_RETURNED_ANSWER_BYTES
         ):
-            ending = kept.without_large_answer(ending)
-        return kept.to_thrift(ending)
+            ending = call_results.without_large_answer(ending)
+        return call_results.to_thrift(ending)
 
     def check_service(self, service: str) -> None:
         """Checks that a plain service is declared.
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed.py
@@ -14,8 +14,8 @@
 from gypsumfold import events
 from gypsumfold import exceptions
 from gypsumfold import outcomes
+from gypsumfold.callers import call_results
 from gypsumfold.callers import dispatches
-from gypsumfold.callers import kept
 from gypsumfold.callers import refusals
 from gypsumfold.logservice import batches
 from gypsumfold.logservice import records
@@ -57,7 +57,7 @@
         self.claimed = False
         self.read_back = False
         self.released = False
-        self.ending: kept.CallResult | None = None
+        self.ending: call_results.CallResult | None = None
         self.changed = asyncio.Event()
         self.task: asyncio.Task | None = None
 
@@ -104,7 +104,7 @@
 
     async def call(
         self, key: str, digest: str, order: dispatches.ServiceCall
-    ) -> kept.CallResult:
+    ) -> call_results.CallResult:
         """Serves one request under a key.
 
         Args:
@@ -124,23 +124,23 @@
             self.attempts[place] = attempt
             attempt.task = asyncio.create_task(self.run(attempt))
         if attempt.claim.digest != digest:
-            return kept.CallResult(None, refusals.conflict())
+            return call_results.CallResult(None, refusals.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         return await asyncio.shield(attempt.task)
 
-    async def run(self, attempt: Attempt) -> kept.CallResult:
+    async def run(self, attempt: Attempt) -> call_results.CallResult:
         """Brings one attempt to its end."""
         try:
             ending = await self.advance(attempt)
         except exceptions.RequestError as error:
-            ending = kept.CallResult(None, error)
+            ending = call_results.CallResult(None, error)
         if attempt.claimed and not attempt.released:
             self.release(attempt, closes=False)
         attempt.ending = ending
         self.remove_ended(attempt)
         return ending
 
-    async def advance(self, attempt: Attempt) -> kept.CallResult:
+    async def advance(self, attempt: Attempt) -> call_results.CallResult:
         """Takes one step after the other, as the claims allow."""
         while attempt.order.is_in_time():
             step = self.claims.step(attempt.claim, attempt.read_back)
@@ -150,7 +150,7 @@
             if step == claims_module.Step.DISPATCH:
                 return await self.dispatch(attempt)
             if step == claims_module.Step.ANSWER:
-                return kept.from_record(
+                return call_results.from_record(
                     self.claims.outcome(*attempt.account_key)
                 )
             if step != claims_module.Step.WAIT:
@@ -205,24 +205,24 @@
         step = self.claims.step(attempt.claim, attempt.read_back)
         return step == claims_module.Step.DISPATCH and not attempt.released
 
-    async def dispatch(self, attempt: Attempt) -> kept.CallResult:
+    async def dispatch(self, attempt: Attempt) -> call_results.CallResult:
         """Runs the call: the claim is the winning one."""
         try:
             answer = await self.dispatches.run(
                 attempt.order, lambda: self.can_run(attempt)
             )
-            ending = kept.CallResult(answer, None)
+            ending = call_results.CallResult(answer, None)
         except exceptions.RequestError as error:
             if error.outcome == outcomes.Outcome.NOT_RUN:
                 return await self.refuse(attempt, error)
-            ending = kept.CallResult(None, error)
+            ending = call_results.CallResult(None, error)
         attempt.released = True
-        self.post(kept.to_record(attempt.claim, ending))
+        self.post(call_results.to_record(attempt.claim, ending))
         return ending
 
     async def refuse(
         self, attempt: Attempt, error: exceptions.RequestError
-    ) -> kept.CallResult:
+    ) -> call_results.CallResult:
         """Ends an attempt that has not run and will not.
 
         Returns:
@@ -234,8 +234,8 @@
             await self.wait_until_closed(attempt)
         step = self.claims.step(attempt.claim, attempt.read_back)
         if step == claims_module.Step.CLOSED:
-            return kept.CallResult(None, error)
-        return kept.CallResult(None, refusals.as_undetermined(error))
+            return call_results.CallResult(None, error)
+        return call_results.CallResult(None, refusals.as_undetermined(error))
 
     async def wait_until_closed(self, attempt: Attempt) -> None:
         """Waits for the release to be read back, as long as a claim may."""
@@ -264,7 +264,7 @@
         except exceptions.LogUnavailable as error:
             events.log(events.CLAIM_RECORD_LOST, reason=str(error))
 
-    async def wait(self, attempt: Attempt) -> kept.CallResult | None:
+    async def wait(self, attempt: Attempt) -> call_results.CallResult | None:
         """Waits for another node's attempt, and asks that node meanwhile.
 
         Returns:
@@ -283,7 +283,7 @@
             raise refusals.holder_unreachable()
         if state.ending is not None:
             try:
-                return kept.from_thrift(state.ending)
+                return call_results.from_thrift(state.ending)
             except exceptions.FrameInvalid as error:
                 raise refusals.holder_unreachable() from error
         try:
@@ -321,12 +321,14 @@
         if attempt is not None and attempt.claim.id == message.claim:
             ending = attempt.ending
             if ending is not None:
-                ending = kept.to_thrift(kept.without_large_answer(ending))
+                ending = call_results.to_thrift(
+                    call_results.without_large_answer(ending)
+                )
             return thrift.ClaimState(known=True, ending=ending)
         outcome = self.claims.outcome(*place)
         if outcome is None or outcome.claim != message.claim:
             return thrift.ClaimState(known=False)
-        ending = kept.to_thrift(kept.from_record(outcome))
+        ending = call_results.to_thrift(call_results.from_record(outcome))
         return thrift.ClaimState(known=True, ending=ending)
 
     def remove_ended(self, attempt: Attempt) -> None:
