--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -12,7 +12,7 @@
 from gypsumfold import outcomes
 from gypsumfold.callers import accounts
 from gypsumfold.callers import bodies
-from gypsumfold.callers import bound
+from gypsumfold.callers import bound_calls
 from gypsumfold.callers import call_results
 from gypsumfold.callers import dispatches
 from gypsumfold.callers import keyed
@@ -37,7 +37,7 @@
         self.node = node
         self.dispatches = dispatches.CallRunner(node)
         self.keyed = keyed.KeyedCalls(node)
-        self.bound = bound.BoundCalls(node)
+        self.bound = bound_calls.BoundCalls(node)
         node.peers.handle("calls.bound", thrift.BoundCall, self.on_bound)
 
     async def post(self, request: web.Request) -> web.Response:
@@ -69,7 +69,7 @@
     async def post_key(self, request: web.Request) -> web.Response:
         """Gives out a key that is bound to this node."""
         key = self.bound.issue(request[progress.KEY].account)
-        body = {"key": key, "expires_in": bound.KEY_LIFETIME_SECONDS}
+        body = {"key": key, "expires_in": bound_calls.KEY_LIFETIME_SECONDS}
         return web.Response(
             status=201,
             body=msgspec.json.encode(body),
@@ -118,7 +118,7 @@
         answer = ending.answer
         if (
             answer is not None
-            and len(answer.body) > bound.MAX_RETURNED_ANSWER_BYTES
+            and len(answer.body) > bound_calls.MAX_RETURNED_ANSWER_BYTES
         ):
             ending = call_results.without_large_answer(ending)
         return call_results.to_thrift(ending)
