--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -15,7 +15,7 @@
 from gypsumfold.callers import bound_calls
 from gypsumfold.callers import call_results
 from gypsumfold.callers import dispatches
-from gypsumfold.callers import keyed
+from gypsumfold.callers import keyed_calls
 from gypsumfold.callers import progress
 from gypsumfold.callers import refusals
 from gypsumfold.decisions import types
@@ -36,7 +36,7 @@
     def __init__(self, node):
         self.node = node
         self.dispatches = dispatches.CallRunner(node)
-        self.keyed = keyed.KeyedCalls(node)
+        self.keyed = keyed_calls.KeyedCalls(node)
         self.bound = bound_calls.BoundCalls(node)
         node.peers.handle("calls.bound", thrift.BoundCall, self.on_bound)
 
