--- a/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
@@ -17,7 +17,7 @@
 from gypsumfold import exceptions
 from gypsumfold import outcomes
 from gypsumfold.callers import call_results
-from gypsumfold.callers import dispatches
+from gypsumfold.callers import call_runner
 from gypsumfold.callers import refusals
 from gypsumfold.peers import framing
 
@@ -81,7 +81,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.dispatches = dispatches.CallRunner(node)
+        self.dispatches = call_runner.CallRunner(node)
         self.signer = itsdangerous.URLSafeSerializer(
             node.settings.peers.secret, salt="gypsumfold-bound-key"
         )
@@ -136,7 +136,7 @@
         text: str,
         key: BoundKey,
         digest: str,
-        order: dispatches.ServiceCall,
+        order: call_runner.ServiceCall,
     ) -> call_results.CallResult:
         """Serves one request under a key that `read` accepted."""
         if key.incarnation == self.node.incarnation:
@@ -144,7 +144,7 @@
         return await self.forward(text, key, order)
 
     async def run_here(
-        self, key: BoundKey, digest: str, order: dispatches.ServiceCall
+        self, key: BoundKey, digest: str, order: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
         self.remove_expired()
@@ -170,7 +170,7 @@
         return ending
 
     async def run(
-        self, order: dispatches.ServiceCall
+        self, order: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Runs the one attempt; what it refuses cannot run any more."""
         try:
@@ -181,7 +181,7 @@
             return call_results.CallResult(None, error)
 
     async def forward(
-        self, text: str, key: BoundKey, order: dispatches.ServiceCall
+        self, text: str, key: BoundKey, order: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Has the key's own incarnation serve the request."""
         if len(order.body) > MAX_FORWARDED_BODY_BYTES:
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -14,7 +14,7 @@
 from gypsumfold.callers import bodies
 from gypsumfold.callers import bound_calls
 from gypsumfold.callers import call_results
-from gypsumfold.callers import dispatches
+from gypsumfold.callers import call_runner
 from gypsumfold.callers import keyed_calls
 from gypsumfold.callers import progress
 from gypsumfold.callers import refusals
@@ -35,7 +35,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.dispatches = dispatches.CallRunner(node)
+        self.dispatches = call_runner.CallRunner(node)
         self.keyed = keyed_calls.KeyedCalls(node)
         self.bound = bound_calls.BoundCalls(node)
         node.peers.handle("calls.bound", thrift.BoundCall, self.on_bound)
@@ -78,7 +78,7 @@
         )
 
     async def serve(
-        self, order: dispatches.ServiceCall, key: str | None
+        self, order: call_runner.ServiceCall, key: str | None
     ) -> call_results.CallResult:
         """Serves one request in the way that its key asks for."""
         if key is None:
@@ -138,11 +138,11 @@
 
     def make_service_call(
         self, account: str, service: str, call: str, body: bytes
-    ) -> dispatches.ServiceCall:
+    ) -> call_runner.ServiceCall:
         """Makes what is to be run out of a request."""
         wanted = self.describe(account, service, call)
         limit = wanted.deadline - wanted.arrival
-        return dispatches.ServiceCall(wanted, call, body, time.time() + limit)
+        return call_runner.ServiceCall(wanted, call, body, time.time() + limit)
 
     def describe(self, account: str, service: str, call: str) -> types.Request:
         """Makes what decisions need to know of the call."""
@@ -178,7 +178,7 @@
         await self.keyed.close()
 
 
-def compute_digest(order: dispatches.ServiceCall) -> str:
+def compute_digest(order: call_runner.ServiceCall) -> str:
     """Digests what identifies a call: its service, name and body."""
     name = f"{order.wanted.service}\n{order.name}\n".encode()
     return hashlib.sha256(name + order.body).hexdigest()
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -15,7 +15,7 @@
 from gypsumfold import exceptions
 from gypsumfold import outcomes
 from gypsumfold.callers import call_results
-from gypsumfold.callers import dispatches
+from gypsumfold.callers import call_runner
 from gypsumfold.callers import refusals
 from gypsumfold.logservice import batches
 from gypsumfold.logservice import records
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, claim: claims_module.Claim, order: dispatches.ServiceCall
+        self, claim: claims_module.Claim, order: call_runner.ServiceCall
     ):
         self.claim = claim
         self.order = order
@@ -83,7 +83,7 @@
         self.claim_timeout = node.settings.platform.timeout
         self.claims = claims_module.Claims(node.settings.platform.retention)
         self.batcher = batches.Batcher(node.log, records.CLAIMS)
-        self.dispatches = dispatches.CallRunner(node)
+        self.dispatches = call_runner.CallRunner(node)
         self.tail = node.tails[records.CLAIMS]
         self.tail.subscribe(self.apply, self.claims.gap)
         self.attempts: dict[AccountKey, Attempt] = {}
@@ -103,7 +103,7 @@
             self.remove_ended(attempt)
 
     async def call(
-        self, key: str, digest: str, order: dispatches.ServiceCall
+        self, key: str, digest: str, order: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Serves one request under a key.
 
