--- a/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
@@ -18,7 +18,7 @@
 from gypsumfold import outcomes
 from gypsumfold.callers import call_results
 from gypsumfold.callers import call_runner
-from gypsumfold.callers import refusals
+from gypsumfold.callers import key_errors
 from gypsumfold.peers import framing
 
 thrift = framing.peers_thrift
@@ -161,7 +161,7 @@
             issued.digest = digest
             issued.task = asyncio.create_task(self.run(order))
         if issued.digest != digest:
-            return call_results.CallResult(None, refusals.conflict())
+            return call_results.CallResult(None, key_errors.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         ending = await asyncio.shield(issued.task)
         issued.task = completed_future(
@@ -206,7 +206,7 @@
                 exceptions.AnswerUndetermined(
                     f"the node that gave this key does not answer: {error!r}",
                     outcomes.Outcome.UNDETERMINED,
-                    refusals.RETRY_AFTER,
+                    key_errors.RETRY_AFTER,
                 ),
             )
 
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -15,9 +15,9 @@
 from gypsumfold.callers import bound_calls
 from gypsumfold.callers import call_results
 from gypsumfold.callers import call_runner
+from gypsumfold.callers import key_errors
 from gypsumfold.callers import keyed_calls
 from gypsumfold.callers import progress
-from gypsumfold.callers import refusals
 from gypsumfold.decisions import types
 from gypsumfold.peers import framing
 
@@ -92,7 +92,7 @@
                 )
             except exceptions.RequestError as error:
                 return call_results.CallResult(
-                    None, refusals.as_undetermined(error)
+                    None, key_errors.as_undetermined(error)
                 )
         digest = compute_digest(order)
         canonical = claims.canonical_key(key)
@@ -208,4 +208,4 @@
     """
     if KEY_HEADER not in request.headers:
         return error
-    return refusals.as_undetermined(error)
+    return key_errors.as_undetermined(error)
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -16,7 +16,7 @@
 from gypsumfold import outcomes
 from gypsumfold.callers import call_results
 from gypsumfold.callers import call_runner
-from gypsumfold.callers import refusals
+from gypsumfold.callers import key_errors
 from gypsumfold.logservice import batches
 from gypsumfold.logservice import records
 from gypsumfold.peers import framing
@@ -124,7 +124,7 @@
             self.attempts[place] = attempt
             attempt.task = asyncio.create_task(self.run(attempt))
         if attempt.claim.digest != digest:
-            return call_results.CallResult(None, refusals.conflict())
+            return call_results.CallResult(None, key_errors.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
         return await asyncio.shield(attempt.task)
 
@@ -154,7 +154,7 @@
                     self.claims.outcome(*attempt.account_key)
                 )
             if step != claims_module.Step.WAIT:
-                raise refusals.cannot_run(step)
+                raise key_errors.cannot_run(step)
             ending = await self.wait(attempt)
             if ending is not None:
                 return ending
@@ -163,7 +163,7 @@
             exceptions.Unavailable(
                 "the deadline passed before the call could run",
                 outcomes.Outcome.NOT_RUN,
-                refusals.RETRY_AFTER,
+                key_errors.RETRY_AFTER,
             ),
         )
 
@@ -176,9 +176,9 @@
         now = max(time.time(), self.claims.time)
         age = self.claims.age(attempt.claim.key, now)
         if age != claims_module.Age.VALID:
-            raise refusals.out_of_window(age)
+            raise key_errors.out_of_window(age)
         if not self.is_log_readable():
-            raise refusals.claim_failed("the log cannot be read")
+            raise key_errors.claim_failed("the log cannot be read")
         patience = min(self.claim_timeout, attempt.time_left)
         try:
             offset = await self.batcher.append(attempt.claim, patience)
@@ -186,10 +186,10 @@
             async with asyncio.timeout(patience):
                 await self.tail.wait_until_delivered(offset)
         except exceptions.LogUnavailable as error:
-            raise refusals.claim_failed("the log takes no claim") from error
+            raise key_errors.claim_failed("the log takes no claim") from error
         except (exceptions.AppendUndetermined, TimeoutError) as error:
             attempt.claimed = True
-            raise refusals.claim_failed(
+            raise key_errors.claim_failed(
                 "the claim was not read back"
             ) from error
         attempt.read_back = True
@@ -235,7 +235,7 @@
         step = self.claims.step(attempt.claim, attempt.read_back)
         if step == claims_module.Step.CLOSED:
             return call_results.CallResult(None, error)
-        return call_results.CallResult(None, refusals.as_undetermined(error))
+        return call_results.CallResult(None, key_errors.as_undetermined(error))
 
     async def wait_until_closed(self, attempt: Attempt) -> None:
         """Waits for the release to be read back, as long as a claim may."""
@@ -280,12 +280,12 @@
         if attempt.changed.is_set():
             return None
         if state is None or not state.known:
-            raise refusals.holder_unreachable()
+            raise key_errors.holder_unreachable()
         if state.ending is not None:
             try:
                 return call_results.from_thrift(state.ending)
             except exceptions.FrameInvalid as error:
-                raise refusals.holder_unreachable() from error
+                raise key_errors.holder_unreachable() from error
         try:
             async with asyncio.timeout(
                 min(QUERY_INTERVAL_SECONDS, attempt.time_left)
