--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -110,8 +110,10 @@
         self.node.metrics.timing(metrics.REQUEST_SECONDS, state.elapsed)
         self.node.metrics.gauge(metrics.OPEN_REQUESTS, self.open_requests)
         if state.request is not None and not state.cancelled:
-            whole = state.outcome == outcomes.Outcome.COMPLETE
-            self.node.reporting.ended(state.request, whole, state.time_to_first)
+            is_complete = state.outcome == outcomes.Outcome.COMPLETE
+            self.node.reporting.ended(
+                state.request, is_complete, state.time_to_first
+            )
         events.log(
             events.REQUEST_ENDED,
             path=path,
