--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -57,7 +57,7 @@
         self.claimed = False
         self.read_back = False
         self.released = False
-        self.ending: call_results.CallResult | None = None
+        self.result: call_results.CallResult | None = None
         self.changed = asyncio.Event()
         self.task: asyncio.Task | None = None
 
@@ -136,7 +136,7 @@
             ending = call_results.CallResult(None, error)
         if attempt.claimed and not attempt.released:
             self.release(attempt, closes=False)
-        attempt.ending = ending
+        attempt.result = ending
         self.remove_ended(attempt)
         return ending
 
@@ -319,7 +319,7 @@
         place = (message.account, message.key)
         attempt = self.attempts.get(place)
         if attempt is not None and attempt.claim.id == message.claim:
-            ending = attempt.ending
+            ending = attempt.result
             if ending is not None:
                 ending = call_results.to_thrift(
                     call_results.without_large_answer(ending)
@@ -333,7 +333,7 @@
 
     def remove_ended(self, attempt: Attempt) -> None:
         """Drops an ended attempt once the log tells its end to all."""
-        if attempt.ending is None:
+        if attempt.result is None:
             return
         step = self.claims.step(attempt.claim, attempt.read_back)
         if step != claims_module.Step.DISPATCH:
