--- a/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
@@ -85,7 +85,7 @@
         self.signer = itsdangerous.URLSafeSerializer(
             node.settings.peers.secret, salt="gypsumfold-bound-key"
         )
-        self.issued: dict[int, IssuedKey] = {}
+        self.issued_keys: dict[int, IssuedKey] = {}
         self.accounts: collections.Counter[str] = collections.Counter()
         self.numbers = itertools.count(1)
 
@@ -96,9 +96,9 @@
             exceptions.Refused: Too many are in use.
         """
         self.remove_expired()
-        full = len(self.issued) >= MAX_KEYS
+        full = len(self.issued_keys) >= MAX_KEYS
         if full or self.accounts[account] >= MAX_KEYS_PER_ACCOUNT:
-            oldest = next(iter(self.issued.values()))
+            oldest = next(iter(self.issued_keys.values()))
             raise exceptions.Refused(
                 "too many keys are in use",
                 outcomes.Outcome.NOT_RUN,
@@ -106,7 +106,7 @@
             )
         number = next(self.numbers)
         expires = time.monotonic() + KEY_LIFETIME_SECONDS
-        self.issued[number] = IssuedKey(account, expires)
+        self.issued_keys[number] = IssuedKey(account, expires)
         self.accounts[account] += 1
         address = self.node.settings.node.address
         key = BoundKey(self.node.incarnation, address, number, account)
@@ -115,12 +115,12 @@
     def remove_expired(self) -> None:
         """Forgets keys that may no longer be used."""
         now = time.monotonic()
-        for number, issued in list(self.issued.items()):
+        for number, issued in list(self.issued_keys.items()):
             if issued.expires > now:
                 return
             if issued.task is not None and not issued.task.done():
                 continue
-            del self.issued[number]
+            del self.issued_keys[number]
             self.accounts[issued.account] -= 1
 
     def verify(self, text: str, account: str) -> BoundKey | None:
@@ -148,7 +148,7 @@
     ) -> call_results.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
         self.remove_expired()
-        issued = self.issued.get(key.number)
+        issued = self.issued_keys.get(key.number)
         if issued is None:
             return call_results.CallResult(
                 None,
