--- a/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
@@ -76,7 +76,7 @@
     """Gives bound keys out and serves calls under them.
 
     >>> key = bound.issue("airline")
-    >>> ending = await bound.call(key, digest, order)
+    >>> result = await bound.call(key, digest, service_call)
     """
 
     def __init__(self, node):
@@ -136,15 +136,15 @@
         text: str,
         key: BoundKey,
         digest: str,
-        order: call_runner.ServiceCall,
+        service_call: call_runner.ServiceCall,
     ) -> call_results.CallResult:
         """Serves one request under a key that `read` accepted."""
         if key.incarnation == self.node.incarnation:
-            return await self.run_here(key, digest, order)
-        return await self.forward(text, key, order)
+            return await self.run_here(key, digest, service_call)
+        return await self.forward(text, key, service_call)
 
     async def run_here(
-        self, key: BoundKey, digest: str, order: call_runner.ServiceCall
+        self, key: BoundKey, digest: str, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Runs the call of a key, or waits for the attempt that does."""
         self.remove_expired()
@@ -159,37 +159,42 @@
             )
         if not issued.digest:
             issued.digest = digest
-            issued.task = asyncio.create_task(self.run(order))
+            issued.task = asyncio.create_task(self.run(service_call))
         if issued.digest != digest:
             return call_results.CallResult(None, key_errors.conflict())
         # It goes on when its caller goes: the repeat will ask for its end.
-        ending = await asyncio.shield(issued.task)
+        result = await asyncio.shield(issued.task)
         issued.task = completed_future(
-            call_results.without_large_answer(ending)
+            call_results.without_large_answer(result)
         )
-        return ending
+        return result
 
     async def run(
-        self, order: call_runner.ServiceCall
+        self, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Runs the one attempt; what it refuses cannot run any more."""
         try:
             return call_results.CallResult(
-                await self.dispatches.run(order), None
+                await self.dispatches.run(service_call), None
             )
         except exceptions.RequestError as error:
             return call_results.CallResult(None, error)
 
     async def forward(
-        self, text: str, key: BoundKey, order: call_runner.ServiceCall
+        self, text: str, key: BoundKey, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Has the key's own incarnation serve the request."""
-        if len(order.body) > MAX_FORWARDED_BODY_BYTES:
+        if len(service_call.body) > MAX_FORWARDED_BODY_BYTES:
             return call_results.CallResult(None, body_too_large())
-        wanted = order.wanted
-        left = max(0.0, wanted.deadline - time.monotonic())
+        request = service_call.request
+        left = max(0.0, request.deadline - time.monotonic())
         message = thrift.BoundCall(
-            wanted.account, wanted.service, order.name, text, order.body, left
+            request.account,
+            request.service,
+            service_call.name,
+            text,
+            service_call.body,
+            left,
         )
         try:
             reply = await self.node.peers.call(
@@ -211,16 +216,17 @@
             )
 
 
-def completed_future(ending: call_results.CallResult) -> asyncio.Future:
+def completed_future(result: call_results.CallResult) -> asyncio.Future:
     """Makes a future that already has its result."""
     future = asyncio.get_running_loop().create_future()
-    future.set_result(ending)
+    future.set_result(result)
     return future
 
 
 def body_too_large() -> exceptions.RequestInvalid:
     """Makes the error of a body that cannot be forwarded."""
     return exceptions.RequestInvalid(
-        f"under a bound key, bodies have {MAX_FORWARDED_BODY_BYTES} bytes at the most",
+        f"under a bound key, bodies have {MAX_FORWARDED_BODY_BYTES} bytes "
+        "at the most",
         outcomes.Outcome.UNDETERMINED,
     )
--- a/packages/gypsumfold/src/gypsumfold/callers/call_results.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/call_results.py
@@ -48,14 +48,14 @@
         return self.answer
 
 
-def to_record(claim: claims.Claim, ending: CallResult) -> claims.Outcome:
+def to_record(claim: claims.Claim, result: CallResult) -> claims.Outcome:
     """Makes the record of a claimed call's end for the log."""
-    answer = ending.answer
+    answer = result.answer
     if answer is None:
-        return claims.Outcome(*claim[:3], ending.outcome)
+        return claims.Outcome(*claim[:3], result.outcome)
     return claims.Outcome(
         *claim[:3],
-        ending.outcome,
+        result.outcome,
         answer.status,
         answer.content_type,
         len(answer.body),
@@ -90,15 +90,15 @@
     )
 
 
-def to_thrift(ending: CallResult):
-    """Makes the message that carries an ending to another node."""
-    if ending.answer is not None:
+def to_thrift(result: CallResult):
+    """Makes the message that carries an result to another node."""
+    if result.answer is not None:
         return thrift.CallEnding(
-            status=ending.answer.status,
-            content_type=ending.answer.content_type,
-            body=ending.answer.body,
+            status=result.answer.status,
+            content_type=result.answer.content_type,
+            body=result.answer.body,
         )
-    error = ending.error
+    error = result.error
     return thrift.CallEnding(
         status=0,
         problem=error.slug,
@@ -109,7 +109,7 @@
 
 
 def from_thrift(message) -> CallResult:
-    """Makes an ending out of another node's message.
+    """Makes an result out of another node's message.
 
     Raises:
         exceptions.FrameInvalid: It makes no sense.
@@ -133,12 +133,12 @@
     )
 
 
-def without_large_answer(ending: CallResult) -> CallResult:
+def without_large_answer(result: CallResult) -> CallResult:
     """Leaves a large answer out, as the log does."""
     if (
-        ending.answer is None
-        or len(ending.answer.body) <= MAX_KEPT_ANSWER_BYTES
+        result.answer is None
+        or len(result.answer.body) <= MAX_KEPT_ANSWER_BYTES
     ):
-        return ending
+        return result
     empty_claim = claims.Claim("", "", "", "")
-    return from_record(to_record(empty_claim, ending))
+    return from_record(to_record(empty_claim, result))
--- a/packages/gypsumfold/src/gypsumfold/callers/call_runner.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/call_runner.py
@@ -26,21 +26,21 @@
     """One call of a caller.
 
     Attributes:
-        wanted: What decisions need to know; its deadline holds.
+        request: What decisions need to know; its deadline holds.
         call: Name of the call.
         body: Sent as it is.
         expires: Wall clock time of the deadline; unlike the monotonic one
             it goes on while the VM itself is paused.
     """
 
-    wanted: types.Request
+    request: types.Request
     name: str
     body: bytes
     expires: float
 
     def is_in_time(self) -> bool:
         """Whether the call may still begin."""
-        return time.monotonic() < self.wanted.deadline and (
+        return time.monotonic() < self.request.deadline and (
             time.time() < self.expires
         )
 
@@ -48,19 +48,21 @@
 class CallRunner:
     """Sends calls to replicas, once each unless they may be repeated.
 
-    >>> answer = await Dispatches(node).run(order)
+    >>> answer = await Dispatches(node).run(service_call)
     """
 
     def __init__(self, node):
         self.node = node
 
     async def run(
-        self, order: ServiceCall, permit: Callable[[], bool] = lambda: True
+        self,
+        service_call: ServiceCall,
+        permit: Callable[[], bool] = lambda: True,
     ) -> services.Answer:
         """Makes a call, on another replica too as long as it may.
 
         Args:
-            order: The call.
+            service_call: The call.
             permit: Asked at the instant of each dispatch.
 
         Returns:
@@ -73,25 +75,27 @@
         sent = False
         failures = 0
         while True:
-            grant = await self.admit(order, sent)
+            grant = await self.admit(service_call, sent)
             try:
-                return await self.attempt(grant, order, permit)
+                return await self.attempt(grant, service_call, permit)
             except exceptions.EndpointNotStarted as error:
                 failure = error
                 self.node.fleet.suspend(grant.replica)
             except exceptions.EndpointError as error:
                 failure = error
                 sent = True
-                if not order.wanted.repeatable:
+                if not service_call.request.repeatable:
                     raise undetermined(error) from error
             failures += 1
-            avoid = order.wanted.avoid | {grant.replica}
-            order = order._replace(wanted=order.wanted._replace(avoid=avoid))
+            avoid = service_call.request.avoid | {grant.replica}
+            service_call = service_call._replace(
+                request=service_call.request._replace(avoid=avoid)
+            )
             pause = min(
                 MAX_RETRY_DELAY_SECONDS, RETRY_DELAY_SECONDS * 2**failures
             )
             await asyncio.sleep(pause * (1 + random.random()) / 2)
-            if order.is_in_time() and permit():
+            if service_call.is_in_time() and permit():
                 continue
             if sent:
                 raise undetermined(failure) from failure
@@ -101,16 +105,18 @@
                 RETRY_AFTER,
             ) from failure
 
-    async def admit(self, order: ServiceCall, sent: bool) -> dispatching.Grant:
+    async def admit(
+        self, service_call: ServiceCall, sent: bool
+    ) -> dispatching.Grant:
         """Waits for permission to send to one replica.
 
         Raises:
             exceptions.RequestError: There is none; undetermined where an
                 earlier dispatch of the call was sent.
         """
-        wanted = order.wanted._replace(id=self.node.new_id())
+        request = service_call.request._replace(id=self.node.new_id())
         try:
-            return await self.node.dispatcher(wanted.service).admit(wanted)
+            return await self.node.dispatcher(request.service).admit(request)
         except exceptions.RequestError as error:
             if sent:
                 raise undetermined(error) from error
@@ -119,7 +125,7 @@
     async def attempt(
         self,
         grant: dispatching.Grant,
-        order: ServiceCall,
+        service_call: ServiceCall,
         permit: Callable[[], bool],
     ) -> services.Answer:
         """Makes one dispatch.
@@ -127,19 +133,19 @@
         Raises:
             exceptions.EndpointError: The replica gave no answer.
         """
-        wanted = grant.request
+        request = grant.request
         finish = types.Finish.CANCELLED
         try:
             watched = self.node.fleet.endpoints.get(grant.replica)
             if watched is None:
                 raise exceptions.EndpointNotStarted("no longer declared")
-            left = max(0.0, wanted.deadline - time.monotonic())
+            left = max(0.0, request.deadline - time.monotonic())
             answer = await watched.client.call(
-                order.name,
-                order.body,
-                wanted.id,
+                service_call.name,
+                service_call.body,
+                request.id,
                 left,
-                lambda: order.is_in_time() and permit(),
+                lambda: service_call.is_in_time() and permit(),
             )
             finish = types.Finish.DONE
             return answer
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -54,16 +54,18 @@
             self.check_service(service)
         except (exceptions.NotFound, exceptions.RequestInvalid) as error:
             raise before_key_check(request, error) from error
-        order = self.make_service_call(state.account, service, call, body)
-        state.request = order.wanted
-        ending = await self.serve(order, request.headers.get(KEY_HEADER))
-        answer = ending.unwrap()
+        service_call = self.make_service_call(
+            state.account, service, call, body
+        )
+        state.request = service_call.request
+        result = await self.serve(service_call, request.headers.get(KEY_HEADER))
+        answer = result.unwrap()
         state.record_answer_start()
         return web.Response(
             status=answer.status,
             body=answer.body,
             content_type=answer.content_type,
-            headers={outcomes.HEADER: ending.outcome},
+            headers={outcomes.HEADER: result.outcome},
         )
 
     async def post_key(self, request: web.Request) -> web.Response:
@@ -78,50 +80,54 @@
         )
 
     async def serve(
-        self, order: call_runner.ServiceCall, key: str | None
+        self, service_call: call_runner.ServiceCall, key: str | None
     ) -> call_results.CallResult:
         """Serves one request in the way that its key asks for."""
         if key is None:
             return call_results.CallResult(
-                await self.dispatches.run(order), None
+                await self.dispatches.run(service_call), None
             )
-        if order.wanted.repeatable:
+        if service_call.request.repeatable:
             try:
                 return call_results.CallResult(
-                    await self.dispatches.run(order), None
+                    await self.dispatches.run(service_call), None
                 )
             except exceptions.RequestError as error:
                 return call_results.CallResult(
                     None, key_errors.as_undetermined(error)
                 )
-        digest = compute_digest(order)
+        digest = compute_digest(service_call)
         canonical = claims.canonical_key(key)
         if canonical:
-            return await self.keyed.call(canonical, digest, order)
-        issued = self.bound.verify(key, order.wanted.account)
+            return await self.keyed.call(canonical, digest, service_call)
+        issued = self.bound.verify(key, service_call.request.account)
         if issued is None:
             return call_results.CallResult(None, invalid_key())
-        return await self.bound.call(key, issued, digest, order)
+        return await self.bound.call(key, issued, digest, service_call)
 
     async def on_bound(self, message, address: str):
         """Serves another node's request under a key of this one."""
         key = self.bound.verify(message.key, message.account)
         if key is None or key.incarnation != self.node.incarnation:
             raise exceptions.PeerRefused("another incarnation's key")
-        order = self.make_service_call(
+        service_call = self.make_service_call(
             message.account, message.service_name, message.call, message.body
         )
-        deadline = min(order.wanted.deadline, time.monotonic() + message.limit)
-        wanted = order.wanted._replace(deadline=deadline)
-        order = order._replace(wanted=wanted)
-        ending = await self.bound.run_here(key, compute_digest(order), order)
-        answer = ending.answer
+        deadline = min(
+            service_call.request.deadline, time.monotonic() + message.limit
+        )
+        request = service_call.request._replace(deadline=deadline)
+        service_call = service_call._replace(request=request)
+        result = await self.bound.run_here(
+            key, compute_digest(service_call), service_call
+        )
+        answer = result.answer
         if (
             answer is not None
             and len(answer.body) > bound_calls.MAX_RETURNED_ANSWER_BYTES
         ):
-            ending = call_results.without_large_answer(ending)
-        return call_results.to_thrift(ending)
+            result = call_results.without_large_answer(result)
+        return call_results.to_thrift(result)
 
     def check_service(self, service: str) -> None:
         """Checks that a plain service is declared.
@@ -140,9 +146,9 @@
         self, account: str, service: str, call: str, body: bytes
     ) -> call_runner.ServiceCall:
         """Makes what is to be run out of a request."""
-        wanted = self.describe(account, service, call)
-        limit = wanted.deadline - wanted.arrival
-        return call_runner.ServiceCall(wanted, call, body, time.time() + limit)
+        request = self.describe(account, service, call)
+        limit = request.deadline - request.arrival
+        return call_runner.ServiceCall(request, call, body, time.time() + limit)
 
     def describe(self, account: str, service: str, call: str) -> types.Request:
         """Makes what decisions need to know of the call."""
@@ -178,10 +184,10 @@
         await self.keyed.close()
 
 
-def compute_digest(order: call_runner.ServiceCall) -> str:
+def compute_digest(service_call: call_runner.ServiceCall) -> str:
     """Digests what identifies a call: its service, name and body."""
-    name = f"{order.wanted.service}\n{order.name}\n".encode()
-    return hashlib.sha256(name + order.body).hexdigest()
+    name = f"{service_call.request.service}\n{service_call.name}\n".encode()
+    return hashlib.sha256(name + service_call.body).hexdigest()
 
 
 def invalid_key() -> exceptions.RequestInvalid:
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -40,20 +40,20 @@
 
     Attributes:
         claim: What it claims.
-        order: What it would run.
+        service_call: What it would run.
         claimed: Whether the claim may stand on the log.
         read_back: Whether the claim's offset was read.
         released: Whether it will never dispatch (again).
-        ending: How it ended; None before.
+        result: How it ended; None before.
         changed: Set when the log says something new of the key.
         task: Runs it.
     """
 
     def __init__(
-        self, claim: claims_module.Claim, order: call_runner.ServiceCall
+        self, claim: claims_module.Claim, service_call: call_runner.ServiceCall
     ):
         self.claim = claim
-        self.order = order
+        self.service_call = service_call
         self.claimed = False
         self.read_back = False
         self.released = False
@@ -69,13 +69,13 @@
     @property
     def time_left(self) -> float:
         """Seconds until the deadline."""
-        return max(0.0, self.order.wanted.deadline - time.monotonic())
+        return max(0.0, self.service_call.request.deadline - time.monotonic())
 
 
 class KeyedCalls:
     """Serves keyed calls on one node.
 
-    >>> answer = await keyed.call(key, digest, order)
+    >>> answer = await keyed.call(key, digest, service_call)
     """
 
     def __init__(self, node):
@@ -103,25 +103,25 @@
             self.remove_ended(attempt)
 
     async def call(
-        self, key: str, digest: str, order: call_runner.ServiceCall
+        self, key: str, digest: str, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
         """Serves one request under a key.
 
         Args:
             key: Canonical.
             digest: Over the call and its body.
-            order: What the request wants.
+            service_call: What the request wants.
 
         Returns:
             How the call ended, by this attempt or another one.
         """
-        place = (order.wanted.account, key)
-        attempt = self.attempts.get(place)
+        account_key = (service_call.request.account, key)
+        attempt = self.attempts.get(account_key)
         if attempt is None:
             claim_id = f"{self.node.incarnation}/{next(self.sequence)}"
-            claim = claims_module.Claim(claim_id, *place, digest)
-            attempt = Attempt(claim, order)
-            self.attempts[place] = attempt
+            claim = claims_module.Claim(claim_id, *account_key, digest)
+            attempt = Attempt(claim, service_call)
+            self.attempts[account_key] = attempt
             attempt.task = asyncio.create_task(self.run(attempt))
         if attempt.claim.digest != digest:
             return call_results.CallResult(None, key_errors.conflict())
@@ -131,18 +131,18 @@
     async def run(self, attempt: Attempt) -> call_results.CallResult:
         """Brings one attempt to its end."""
         try:
-            ending = await self.advance(attempt)
+            result = await self.advance(attempt)
         except exceptions.RequestError as error:
-            ending = call_results.CallResult(None, error)
+            result = call_results.CallResult(None, error)
         if attempt.claimed and not attempt.released:
             self.release(attempt, closes=False)
-        attempt.result = ending
+        attempt.result = result
         self.remove_ended(attempt)
-        return ending
+        return result
 
     async def advance(self, attempt: Attempt) -> call_results.CallResult:
         """Takes one step after the other, as the claims allow."""
-        while attempt.order.is_in_time():
+        while attempt.service_call.is_in_time():
             step = self.claims.step(attempt.claim, attempt.read_back)
             if step == claims_module.Step.CLAIM:
                 await self.append(attempt)
@@ -155,9 +155,9 @@
                 )
             if step != claims_module.Step.WAIT:
                 raise key_errors.cannot_run(step)
-            ending = await self.wait(attempt)
-            if ending is not None:
-                return ending
+            result = await self.wait(attempt)
+            if result is not None:
+                return result
         return await self.refuse(
             attempt,
             exceptions.Unavailable(
@@ -209,16 +209,16 @@
         """Runs the call: the claim is the winning one."""
         try:
             answer = await self.dispatches.run(
-                attempt.order, lambda: self.can_run(attempt)
+                attempt.service_call, lambda: self.can_run(attempt)
             )
-            ending = call_results.CallResult(answer, None)
+            result = call_results.CallResult(answer, None)
         except exceptions.RequestError as error:
             if error.outcome == outcomes.Outcome.NOT_RUN:
                 return await self.refuse(attempt, error)
-            ending = call_results.CallResult(None, error)
+            result = call_results.CallResult(None, error)
         attempt.released = True
-        self.post(call_results.to_record(attempt.claim, ending))
-        return ending
+        self.post(call_results.to_record(attempt.claim, result))
+        return result
 
     async def refuse(
         self, attempt: Attempt, error: exceptions.RequestError
@@ -316,20 +316,20 @@
 
     async def on_claim_question(self, message, address: str):
         """Serves another node's question."""
-        place = (message.account, message.key)
-        attempt = self.attempts.get(place)
+        account_key = (message.account, message.key)
+        attempt = self.attempts.get(account_key)
         if attempt is not None and attempt.claim.id == message.claim:
-            ending = attempt.result
-            if ending is not None:
-                ending = call_results.to_thrift(
-                    call_results.without_large_answer(ending)
+            result = attempt.result
+            if result is not None:
+                result = call_results.to_thrift(
+                    call_results.without_large_answer(result)
                 )
-            return thrift.ClaimState(known=True, ending=ending)
-        outcome = self.claims.outcome(*place)
+            return thrift.ClaimState(known=True, ending=result)
+        outcome = self.claims.outcome(*account_key)
         if outcome is None or outcome.claim != message.claim:
             return thrift.ClaimState(known=False)
-        ending = call_results.to_thrift(call_results.from_record(outcome))
-        return thrift.ClaimState(known=True, ending=ending)
+        result = call_results.to_thrift(call_results.from_record(outcome))
+        return thrift.ClaimState(known=True, ending=result)
 
     def remove_ended(self, attempt: Attempt) -> None:
         """Drops an ended attempt once the log tells its end to all."""
