--- a/packages/gypsumfold/src/gypsumfold/callers/accounts.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/accounts.py
@@ -1,4 +1,4 @@
-"""Bearer tokens of callers, and the kinds of their requests."""
+"""Looks up the account and the kind of a caller's request."""
 
 import hashlib
 import hmac
@@ -10,9 +10,9 @@
 from gypsumfold import objects
 from gypsumfold import outcomes
 
-# The request header that names the kind of request.
+# The request header that names the request's kind.
 KIND_HEADER = "Gypsumfold-Kind"
-# Urgency of a request of no declared kind: in the middle of 0 to 9.
+# Urgency of a request without a declared kind: the middle of 0 to 9.
 DEFAULT_URGENCY = 5
 
 
@@ -22,8 +22,8 @@
     """Finds the account of a request by its bearer token.
 
     Args:
-        configuration: In force on this node.
-        request: Of the caller.
+        configuration: The node's current configuration.
+        request: The caller's HTTP request.
 
     Returns:
         The account's name.
@@ -52,10 +52,11 @@
     """Finds the kind of a request.
 
     Args:
-        configuration: In force on this node.
-        service: That the request is for.
-        name: As the caller gave it; empty for the service's default.
-        fallback: Used where no name is given and no default declared.
+        configuration: The node's current configuration.
+        service: The requested service.
+        name: The kind that the caller named; empty for the service's
+            default.
+        fallback: Used if no name is given and no default is declared.
 
     Returns:
         The kind's name and its declaration.
--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -1,4 +1,4 @@
-"""One whole answer from engines that may fail on the way to it."""
+"""Produces one complete answer, across failures of engines."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -20,24 +20,24 @@
 from gypsumfold.endpoints import fleet as fleet_module
 from gypsumfold.endpoints import tokens
 
-# Tries to go on with a broken stream on the engine that has it. The second
-# is on a fresh connection even if the first was given a pooled one.
+# Attempts to resume a broken stream on the same engine. The second uses a new
+# connection even if the first used a pooled one.
 MAX_RESUMES = 2
-# The finish reason of an answer that its limit has cut.
+# The finish reason of an answer that reached its token limit.
 LENGTH_FINISH = "length"
-# Seconds after which a repeat makes sense when engines have failed: about
-# what a crashed engine needs to be noticed by all nodes.
+# Seconds after which a caller should retry when engines have failed: about the
+# time until all nodes have detected a crashed engine.
 RETRY_AFTER = 2.0
 
 
 class AnswerToken(NamedTuple):
-    """One token for the caller, and where it came from.
+    """One token of an answer, and its source.
 
     Attributes:
         text: The token.
-        index: Its place in the whole answer.
+        index: Its position in the complete answer.
         endpoint: The engine that generated it.
-        dispatch: The dispatch's id there.
+        dispatch: ID of the dispatch on that engine.
     """
 
     text: str
@@ -47,13 +47,13 @@
 
 
 class EngineAnswer:
-    """Drives one request to its whole answer.
+    """Obtains the complete answer to one request.
 
-    A broken stream is resumed on the same engine; if that fails and the
-    request is repeatable, it goes on elsewhere from the prompt and the
+    A broken stream is resumed on the same engine. If that fails and the
+    request is repeatable, another engine continues from the prompt and the
     tokens that the caller already has.
 
-    >>> answer = Answer(dispatcher, fleet, request, messages, new_id)
+    >>> answer = EngineAnswer(dispatcher, fleet, request, messages, new_id)
     >>> async for part in answer.parts():
     ...     print(part.text)
     >>> answer.finish
@@ -78,7 +78,7 @@
         self.started = False
 
     async def parts(self) -> AsyncIterator[AnswerToken]:
-        """Yields the tokens of the answer, each once and in order.
+        """Yields each token of the answer once, in order.
 
         Raises:
             exceptions.RequestError: The answer cannot be completed.
@@ -116,13 +116,13 @@
     async def resume_stream(
         self, position: resumption.Position
     ) -> AsyncIterator[AnswerToken]:
-        """Yields what follows a position, from the engine that has it.
+        """Yields the tokens after a position from the engine of the stream.
 
         Args:
-            position: The last token that the caller has.
+            position: Position of the last token that the caller received.
 
         Raises:
-            exceptions.RequestError: The engine does not have it any more.
+            exceptions.RequestError: The engine no longer has the stream.
         """
         self.started = True
         watched = self.fleet.endpoints.get(position.endpoint)
@@ -154,7 +154,7 @@
         raise self.make_error("the stream could not be resumed")
 
     async def admit(self, request: types.Request) -> dispatching.Grant:
-        """Waits for an engine; a started request is not called not-run."""
+        """Waits for an engine; a started request never fails as not-run."""
         try:
             return await self.dispatcher.admit(request)
         except exceptions.Refused as error:
@@ -165,7 +165,7 @@
     async def attempt(
         self, grant: dispatching.Grant
     ) -> AsyncIterator[AnswerToken]:
-        """Yields what one engine adds, resuming there where it can."""
+        """Yields the tokens of one engine and resumes a broken stream on it."""
         watched = self.fleet.endpoints.get(grant.replica)
         if watched is None:
             raise exceptions.EndpointNotStarted("the endpoint was dropped")
@@ -194,11 +194,11 @@
     async def prefill(
         self, grant: dispatching.Grant, dispatch: engines.Dispatch
     ) -> AsyncIterator[AnswerToken]:
-        """Has the prompt processed by another engine, if one is granted.
+        """Runs the prefill on a separate engine, if one is granted.
 
-        That engine gives one token; the KV cache then moves from engine to
-        engine. If it fails, the engine that decodes does all; so a request
-        that may not be repeated is not begun here.
+        That engine generates one token; the KV cache is then transferred to
+        the decode engine. If the prefill fails, the decode engine does all
+        the work, so a request that may not be repeated is not started here.
         """
         watched = self.fleet.endpoints.get(grant.prefill)
         if watched is None or self.tokens or not self.request.repeatable:
@@ -227,12 +227,12 @@
         grant: dispatching.Grant,
         dispatch: engines.Dispatch,
     ) -> AsyncIterator[AnswerToken]:
-        """Goes on with a broken stream on the engine that has it.
+        """Resumes a broken stream on the same engine.
 
-        The engine is probed on a fresh connection first, since the silence
-        of one connection says nothing about it. An engine that is busy with
-        others is waited for: to cancel and send the work elsewhere would
-        only add to the load.
+        The engine is first probed on a new connection, since one silent
+        connection does not show whether the engine works. If the engine is
+        busy with other requests, this waits: to cancel and send the work
+        elsewhere would only add load.
         """
         report = await client.probe()
         left = MAX_RESUMES
@@ -260,7 +260,7 @@
                     raise
 
     def make_dispatch(self) -> engines.Dispatch:
-        """Makes a fresh dispatch of what is still missing."""
+        """Makes a new dispatch for the rest of the answer."""
         return engines.Dispatch(
             self.new_id(),
             self.request.model,
@@ -276,7 +276,7 @@
         grant: dispatching.Grant,
         dispatch: engines.Dispatch,
     ) -> AsyncIterator[AnswerToken]:
-        """Counts the tokens of one stream in and notes its finish."""
+        """Records and yields the tokens of one stream; records its finish."""
         async with contextlib.aclosing(stream) as items:
             async for item in items:
                 if isinstance(item, tokens.Finish):
@@ -289,7 +289,11 @@
                 )
 
     def raise_if_not_repeatable(self, error: exceptions.EndpointError) -> None:
-        """Ends a request that may not be sent to a second engine."""
+        """Raises if the request may not be sent to a second engine.
+
+        Raises:
+            exceptions.RequestError: The request is not repeatable.
+        """
         self.started = True
         if self.request.repeatable:
             return
@@ -303,7 +307,7 @@
     def make_error(
         self, detail: str, retry_after: float | None = RETRY_AFTER
     ) -> exceptions.RequestError:
-        """Makes the error of a request that engines failed."""
+        """Returns the error of a request that no engine completed."""
         if not self.started:
             return exceptions.Unavailable(
                 detail, outcomes.Outcome.NOT_RUN, retry_after
@@ -313,7 +317,7 @@
         )
 
 
-# References to cancellations in progress; the loop itself keeps none.
+# References to cancellations in progress: the event loop keeps only weak ones.
 _cancellations: set[asyncio.Task] = set()
 
 
--- a/packages/gypsumfold/src/gypsumfold/callers/bodies.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bodies.py
@@ -1,4 +1,4 @@
-"""Reads callers' request bodies within the limits of the settings."""
+"""Reads request bodies within the size and time limits of the settings."""
 
 import asyncio
 
@@ -8,25 +8,25 @@
 from gypsumfold import outcomes
 from gypsumfold import settings as settings_module
 
-# Seconds after which a caller that was too slow may try again.
+# Seconds after which a caller whose body was too slow may retry.
 RETRY_AFTER = 1.0
 
 
 async def read(
     request: web.Request, settings: settings_module.CallersSection
 ) -> bytes:
-    """Reads a request's whole body.
+    """Reads a request's entire body.
 
     Args:
-        request: Of a caller.
-        settings: With the limits.
+        request: The caller's HTTP request.
+        settings: Contains the size and time limits.
 
     Returns:
         The body.
 
     Raises:
-        exceptions.BodyTooLarge: It has more bytes than are taken.
-        exceptions.BodyTooSlow: It did not come in time.
+        exceptions.BodyTooLarge: The body exceeds the size limit.
+        exceptions.BodyTooSlow: The body did not arrive in time.
     """
     try:
         async with asyncio.timeout(settings.read_timeout):
--- a/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
@@ -1,9 +1,9 @@
-"""Calls under a key that one incarnation of one node gave out.
+"""Calls with a key that is bound to one incarnation of one node.
 
-Answers a log outage: no claim can be made, but a caller still wants to
-repeat safely. The key names an incarnation; any node forwards to it, it
-alone may run the call, and it remembers in memory. When it has gone, every
-attempt under the key is undetermined.
+These keys allow safe retries during an outage of the log, when no claim can
+be made. The key names an incarnation: only this incarnation may run the call,
+and any other node forwards to it. It keeps the results in memory, so once it
+has ended, every attempt with the key is undetermined.
 """
 
 import asyncio
@@ -23,30 +23,30 @@
 
 thrift = framing.peers_thrift
 
-# Seconds for which a key may be used. Longer than a caller's retries (a few
-# deadlines of 60 s); short enough that the bounds below refuse few.
+# How long a key may be used. Longer than a caller's retries (a few deadlines of
+# 60 s); short enough that the limits below refuse few callers.
 KEY_LIFETIME_SECONDS = 600.0
-# Keys that one node keeps in memory, and those of one account. With answers
-# of 8 KiB at the most, 2,000 keys take 16 MB, a quarter of a node's memory
-# for control; no account may take it all.
+# Limits of keys in a node's memory, in total and per account. With answers of
+# up to 8 KiB, 2,000 keys take 16 MB, a quarter of a node's memory for control;
+# no account may use all of it.
 MAX_KEYS = 2000
 MAX_KEYS_PER_ACCOUNT = 500
-# Bytes of a body that can be forwarded: a call between nodes has 64 KiB.
+# A call between nodes has at most 64 KiB.
 MAX_FORWARDED_BODY_BYTES = 48 * 1024
-# Bytes of an answer that can be sent back: a reply has 1 MiB.
+# A reply between nodes has at most 1 MiB.
 MAX_RETURNED_ANSWER_BYTES = 512 * 1024
-# Seconds that the reply may come after the call's own deadline.
+# How long after the call's deadline the reply may arrive.
 REPLY_GRACE_SECONDS = 0.5
 
 
 class BoundKey(NamedTuple):
-    """What a bound key says, signed.
+    """The signed content of a bound key.
 
     Attributes:
-        incarnation: That alone may run the call.
-        address: IP number of its node.
+        incarnation: The only incarnation that may run the call.
+        address: IP address of its node.
         number: Unique within the incarnation.
-        account: Whose key it is.
+        account: The account that owns the key.
     """
 
     incarnation: str
@@ -56,13 +56,13 @@
 
 
 class IssuedKey:
-    """A key that this incarnation gave out.
+    """A key that this incarnation issued.
 
     Attributes:
-        account: Whose key it is.
-        expires: Monotonic time.
-        digest: Over the call and its body; empty before its first use.
-        task: Runs the call; None before its first use.
+        account: The account that owns the key.
+        expires: Expiry (monotonic time).
+        digest: Digest of the call and its body; empty before the first use.
+        task: Runs the call; None before the first use.
     """
 
     def __init__(self, account: str, expires: float):
@@ -73,7 +73,7 @@
 
 
 class BoundCalls:
-    """Gives bound keys out and serves calls under them.
+    """Issues bound keys and serves calls with them.
 
     >>> key = bound.issue("airline")
     >>> result = await bound.call(key, digest, service_call)
@@ -90,10 +90,10 @@
         self.numbers = itertools.count(1)
 
     def issue(self, account: str) -> str:
-        """Makes a key.
+        """Issues a key.
 
         Raises:
-            exceptions.Refused: Too many are in use.
+            exceptions.Refused: Too many keys are in use.
         """
         self.remove_expired()
         full = len(self.issued_keys) >= MAX_KEYS
@@ -113,7 +113,7 @@
         return self.signer.dumps(list(key))
 
     def remove_expired(self) -> None:
-        """Forgets keys that may no longer be used."""
+        """Removes expired keys, except those whose call is running."""
         now = time.monotonic()
         for number, issued in list(self.issued_keys.items()):
             if issued.expires > now:
@@ -124,7 +124,7 @@
             self.accounts[issued.account] -= 1
 
     def verify(self, text: str, account: str) -> BoundKey | None:
-        """Checks a key; None where it was not signed for this account."""
+        """Verifies a key; returns None if it was not signed for the account."""
         try:
             key = BoundKey(*self.signer.loads(text))
         except (itsdangerous.BadData, TypeError):
@@ -138,7 +138,7 @@
         digest: str,
         service_call: call_runner.ServiceCall,
     ) -> call_results.CallResult:
-        """Serves one request under a key that `read` accepted."""
+        """Serves one request with a key that `verify` accepted."""
         if key.incarnation == self.node.incarnation:
             return await self.run_here(key, digest, service_call)
         return await self.forward(text, key, service_call)
@@ -146,7 +146,7 @@
     async def run_here(
         self, key: BoundKey, digest: str, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
-        """Runs the call of a key, or waits for the attempt that does."""
+        """Runs the call of a key, or waits for the attempt in progress."""
         self.remove_expired()
         issued = self.issued_keys.get(key.number)
         if issued is None:
@@ -162,7 +162,7 @@
             issued.task = asyncio.create_task(self.run(service_call))
         if issued.digest != digest:
             return call_results.CallResult(None, key_errors.conflict())
-        # It goes on when its caller goes: the repeat will ask for its end.
+        # The call continues if its caller disconnects: a retry gets its result.
         result = await asyncio.shield(issued.task)
         issued.task = completed_future(
             call_results.without_large_answer(result)
@@ -172,7 +172,7 @@
     async def run(
         self, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
-        """Runs the one attempt; what it refuses cannot run any more."""
+        """Runs the only attempt; a refused call cannot run any more."""
         try:
             return call_results.CallResult(
                 await self.dispatches.run(service_call), None
@@ -183,7 +183,7 @@
     async def forward(
         self, text: str, key: BoundKey, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
-        """Has the key's own incarnation serve the request."""
+        """Forwards the request to the node that issued the key."""
         if len(service_call.body) > MAX_FORWARDED_BODY_BYTES:
             return call_results.CallResult(None, body_too_large())
         request = service_call.request
@@ -217,14 +217,14 @@
 
 
 def completed_future(result: call_results.CallResult) -> asyncio.Future:
-    """Makes a future that already has its result."""
+    """Returns a future that already has its result."""
     future = asyncio.get_running_loop().create_future()
     future.set_result(result)
     return future
 
 
 def body_too_large() -> exceptions.RequestInvalid:
-    """Makes the error of a body that cannot be forwarded."""
+    """Returns the error of a body that is too large to forward."""
     return exceptions.RequestInvalid(
         f"under a bound key, bodies have {MAX_FORWARDED_BODY_BYTES} bytes "
         "at the most",
--- a/packages/gypsumfold/src/gypsumfold/callers/call_results.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/call_results.py
@@ -1,4 +1,4 @@
-"""How a call ended, as it is kept, sent between nodes and told to callers."""
+"""Results of calls, as stored, sent between nodes and sent to callers."""
 
 import hashlib
 from typing import NamedTuple
@@ -11,9 +11,9 @@
 
 thrift = framing.peers_thrift
 
-# Bytes of an answer that is kept whole for a repeat. A seat hold's or a tug
-# call's answer is a few hundred; at 512 records a batch of the log (256 KiB)
-# still takes thirty of the largest.
+# Largest answer that is stored entirely for retries. The answer of a seat
+# hold or a tug call has a few hundred bytes. A batch of the log (512 records,
+# 256 KiB) holds about thirty answers of this size.
 MAX_KEPT_ANSWER_BYTES = 8 * 1024
 
 _ERRORS: dict[str, type[exceptions.RequestError]] = {}
@@ -22,11 +22,11 @@
 
 
 class CallResult(NamedTuple):
-    """The end of a call: its answer or its error.
+    """The result of a call: an answer or an error.
 
     Attributes:
-        answer: Of the service; None where there is none.
-        error: Why there is none; None where there is an answer.
+        answer: The service's answer; None if there is an error.
+        error: The reason why there is no answer; None if there is one.
     """
 
     answer: services.Answer | None
@@ -34,7 +34,7 @@
 
     @property
     def outcome(self) -> outcomes.Outcome:
-        """What is known of the call."""
+        """The outcome of the call."""
         if self.error is not None:
             return self.error.outcome
         if self.answer.status >= 500:
@@ -49,7 +49,7 @@
 
 
 def to_record(claim: claims.Claim, result: CallResult) -> claims.Outcome:
-    """Makes the record of a claimed call's end for the log."""
+    """Converts the result of a claimed call into a record for the log."""
     answer = result.answer
     if answer is None:
         return claims.Outcome(*claim[:3], result.outcome)
@@ -65,7 +65,7 @@
 
 
 def from_record(outcome: claims.Outcome) -> CallResult:
-    """Makes the end of a call out of its record."""
+    """Converts a record of the log into the result of a call."""
     if outcome.status and outcome.body is not None:
         return CallResult(
             services.Answer(outcome.status, outcome.content_type, outcome.body),
@@ -82,7 +82,7 @@
 
 
 def answer_not_kept(outcome: claims.Outcome) -> exceptions.AnswerFailed:
-    """Makes the error of a call that ran and whose answer is too large."""
+    """Returns the error of a call whose answer was too large to store."""
     return exceptions.AnswerFailed(
         f"the call ran and was answered with status {outcome.status} and "
         f"{outcome.size} bytes of SHA-256 {outcome.digest}, which are not kept",
@@ -91,7 +91,7 @@
 
 
 def to_thrift(result: CallResult):
-    """Makes the message that carries an result to another node."""
+    """Converts a result into a message to another node."""
     if result.answer is not None:
         return thrift.CallEnding(
             status=result.answer.status,
@@ -109,10 +109,10 @@
 
 
 def from_thrift(message) -> CallResult:
-    """Makes an result out of another node's message.
+    """Converts another node's message into a result.
 
     Raises:
-        exceptions.FrameInvalid: It makes no sense.
+        exceptions.FrameInvalid: The outcome or the problem is unknown.
     """
     if message.status:
         return CallResult(
@@ -134,7 +134,7 @@
 
 
 def without_large_answer(result: CallResult) -> CallResult:
-    """Leaves a large answer out, as the log does."""
+    """Replaces a large answer by an error, as the log's records do."""
     if (
         result.answer is None
         or len(result.answer.body) <= MAX_KEPT_ANSWER_BYTES
--- a/packages/gypsumfold/src/gypsumfold/callers/call_runner.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/call_runner.py
@@ -1,4 +1,4 @@
-"""Runs one call of a plain service: admission, sending, trying again."""
+"""Runs one call of a plain service: admission, dispatch and retries."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,25 +12,26 @@
 from gypsumfold.decisions import types
 from gypsumfold.endpoints import services
 
-# Seconds before a call goes to another replica, plus up to as much again at
-# random; doubled with each failure up to LONGEST_PAUSE. A replica that
-# refuses is seen as leaving or silent within a few polls (0.25 s each).
+# Seconds before a call is retried on another replica, plus up to as much again
+# at random; doubled with each failure up to MAX_RETRY_DELAY_SECONDS. A replica
+# that refuses is detected as leaving or silent within a few polls (0.25 s
+# each).
 RETRY_DELAY_SECONDS = 0.05
 MAX_RETRY_DELAY_SECONDS = 0.8
-# Seconds after which a repeat by the caller makes sense where every replica
-# failed: a few polls of the replicas.
+# Seconds after which a caller should retry if every replica failed: a few
+# polls of the replicas.
 RETRY_AFTER = 1.0
 
 
 class ServiceCall(NamedTuple):
-    """One call of a caller.
+    """A caller's call of a plain service.
 
     Attributes:
-        request: What decisions need to know; its deadline holds.
-        call: Name of the call.
-        body: Sent as it is.
-        expires: Wall clock time of the deadline; unlike the monotonic one
-            it goes on while the VM itself is paused.
+        request: Input of the scheduling decisions, with the deadline.
+        name: Name of the call.
+        body: Sent unchanged.
+        expires: Wall clock time of the deadline; unlike the monotonic clock
+            it advances while the VM is paused.
     """
 
     request: types.Request
@@ -39,16 +40,16 @@
     expires: float
 
     def is_in_time(self) -> bool:
-        """Whether the call may still begin."""
+        """Returns whether the call may still start."""
         return time.monotonic() < self.request.deadline and (
             time.time() < self.expires
         )
 
 
 class CallRunner:
-    """Sends calls to replicas, once each unless they may be repeated.
+    """Sends calls to replicas; only repeatable calls may run twice.
 
-    >>> answer = await Dispatches(node).run(service_call)
+    >>> answer = await CallRunner(node).run(service_call)
     """
 
     def __init__(self, node):
@@ -59,18 +60,19 @@
         service_call: ServiceCall,
         permit: Callable[[], bool] = lambda: True,
     ) -> services.Answer:
-        """Makes a call, on another replica too as long as it may.
+        """Runs a call and retries it on other replicas while that is safe.
 
         Args:
             service_call: The call.
-            permit: Asked at the instant of each dispatch.
+            permit: Returns whether the call may be sent; called right before
+                each dispatch.
 
         Returns:
-            The whole answer of one replica.
+            The complete answer of one replica.
 
         Raises:
-            exceptions.RequestError: With the outcome of this run of the
-                call; whether other attempts exist is for others to judge.
+            exceptions.RequestError: With the outcome of this run only; other
+                attempts at the call are not considered.
         """
         sent = False
         failures = 0
@@ -108,11 +110,11 @@
     async def admit(
         self, service_call: ServiceCall, sent: bool
     ) -> dispatching.Grant:
-        """Waits for permission to send to one replica.
+        """Waits until the call may be sent to one replica.
 
         Raises:
-            exceptions.RequestError: There is none; undetermined where an
-                earlier dispatch of the call was sent.
+            exceptions.RequestError: The call was not admitted; the outcome is
+                undetermined if an earlier dispatch of it was sent.
         """
         request = service_call.request._replace(id=self.node.new_id())
         try:
@@ -128,10 +130,10 @@
         service_call: ServiceCall,
         permit: Callable[[], bool],
     ) -> services.Answer:
-        """Makes one dispatch.
+        """Dispatches the call once.
 
         Raises:
-            exceptions.EndpointError: The replica gave no answer.
+            exceptions.EndpointError: The replica did not answer.
         """
         request = grant.request
         finish = types.Finish.CANCELLED
@@ -160,7 +162,7 @@
 
 
 def undetermined(error: Exception) -> exceptions.AnswerUndetermined:
-    """Makes the error of a call that may have run."""
+    """Returns the error of a call that may have run."""
     return exceptions.AnswerUndetermined(
         f"the call may have run: {error}", outcomes.Outcome.UNDETERMINED
     )
--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -1,4 +1,4 @@
-"""``/v1/services/{service}/{call}`` and ``/v1/keys``: plain services."""
+"""Serves ``/v1/services/{service}/{call}`` and ``/v1/keys``."""
 
 import hashlib
 import time
@@ -44,7 +44,7 @@
         """Serves one call.
 
         Raises:
-            exceptions.RequestError: There is no answer to give.
+            exceptions.RequestError: The call has no answer.
         """
         service = request.match_info["service"]
         call = request.match_info["call"]
@@ -69,7 +69,7 @@
         )
 
     async def post_key(self, request: web.Request) -> web.Response:
-        """Gives out a key that is bound to this node."""
+        """Issues a key that is bound to this node."""
         key = self.bound.issue(request[progress.KEY].account)
         body = {"key": key, "expires_in": bound_calls.KEY_LIFETIME_SECONDS}
         return web.Response(
@@ -82,7 +82,7 @@
     async def serve(
         self, service_call: call_runner.ServiceCall, key: str | None
     ) -> call_results.CallResult:
-        """Serves one request in the way that its key asks for."""
+        """Serves one request according to the kind of its key."""
         if key is None:
             return call_results.CallResult(
                 await self.dispatches.run(service_call), None
@@ -106,7 +106,7 @@
         return await self.bound.call(key, issued, digest, service_call)
 
     async def on_bound(self, message, address: str):
-        """Serves another node's request under a key of this one."""
+        """Serves a request that another node forwards to this node's key."""
         key = self.bound.verify(message.key, message.account)
         if key is None or key.incarnation != self.node.incarnation:
             raise exceptions.PeerRefused("another incarnation's key")
@@ -133,7 +133,7 @@
         """Checks that a plain service is declared.
 
         Raises:
-            exceptions.NotFound: It is not.
+            exceptions.NotFound: The service is not declared or not plain.
         """
         declared = self.node.configuration.get("service", service)
         if declared is None or declared.protocol != "plain":
@@ -145,13 +145,13 @@
     def make_service_call(
         self, account: str, service: str, call: str, body: bytes
     ) -> call_runner.ServiceCall:
-        """Makes what is to be run out of a request."""
+        """Makes the service call of a request."""
         request = self.describe(account, service, call)
         limit = request.deadline - request.arrival
         return call_runner.ServiceCall(request, call, body, time.time() + limit)
 
     def describe(self, account: str, service: str, call: str) -> types.Request:
-        """Makes what decisions need to know of the call."""
+        """Makes the input of the scheduling decisions for a call."""
         fallback = objects.Kind(
             service=service,
             urgency=accounts.DEFAULT_URGENCY,
@@ -162,7 +162,7 @@
                 self.node.configuration, service, call, fallback
             )
         except exceptions.RequestInvalid:
-            # A call that is not declared may not be repeated.
+            # A call without a declared kind may not be repeated.
             name, kind = call, fallback
         now = time.monotonic()
         return types.Request(
@@ -185,13 +185,13 @@
 
 
 def compute_digest(service_call: call_runner.ServiceCall) -> str:
-    """Digests what identifies a call: its service, name and body."""
+    """Computes a digest of a call's service, name and body."""
     name = f"{service_call.request.service}\n{service_call.name}\n".encode()
     return hashlib.sha256(name + service_call.body).hexdigest()
 
 
 def invalid_key() -> exceptions.RequestInvalid:
-    """Makes the error of a key under which no node runs anything."""
+    """Returns the error of a key that no node accepts."""
     return exceptions.RequestInvalid(
         "the idempotency key must be a UUIDv7 (RFC 9562) or come from "
         "/v1/keys for this account",
@@ -202,15 +202,15 @@
 def before_key_check(
     request: web.Request, error: exceptions.RequestError
 ) -> exceptions.RequestError:
-    """Takes the promise out of an error made before the key was looked at.
+    """Adjusts the outcome of an error raised before the key was checked.
 
     Args:
-        request: Of a caller.
-        error: That would be its answer.
+        request: The caller's HTTP request.
+        error: The error that answers it.
 
     Returns:
-        The error; with a key, another attempt may run on another node, so
-        its outcome is then undetermined.
+        The error. If the request has a key, another attempt may run on
+        another node, so an outcome of not-run becomes undetermined.
     """
     if KEY_HEADER not in request.headers:
         return error
--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -1,4 +1,4 @@
-"""``/v1/chat/completions``: one answer, streamed or whole."""
+"""Serves ``/v1/chat/completions``, as a stream or as one document."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -25,23 +25,23 @@
 from gypsumfold.endpoints import sse
 from gypsumfold.endpoints import tokens
 
-# Tokens of an answer where the caller names no limit.
+# Token limit of an answer if the caller sets none.
 DEFAULT_MAX_TOKENS = 256
-# Characters of a prompt that make one token, for estimates: about four in
-# English text for the usual byte-pair vocabularies.
+# For estimates of prompt lengths: English text has about four characters per
+# token with the usual byte-pair vocabularies.
 CHARACTERS_PER_TOKEN = 4
-# Characters of a prompt's beginning that name its prefix: longer than a
-# deployment's system prompt header, shorter than most prompts.
+# Characters at the start of a prompt that identify its prefix: longer than the
+# header of a deployment's system prompt, shorter than most prompts.
 PREFIX_CHARACTERS = 256
-# Seconds between comments on a stream that has nothing to say. Proxies and
-# clients commonly give up after 30 to 60 s of silence.
+# Seconds between keep-alive comments on a stream. Proxies and clients commonly
+# time out after 30 to 60 s without data.
 COMMENT_INTERVAL = 10.0
-# Seconds after which a caller may repeat what ran into its deadline.
+# Seconds after which a caller may retry a request that missed its deadline.
 RETRY_AFTER = 1.0
 
 
 class Body(msgspec.Struct):
-    """The request's body; members that are not ours are ignored."""
+    """The body of a request; unknown members are ignored."""
 
     model: str
     messages: Annotated[list[dict[str, Any]], msgspec.Meta(min_length=1)]
@@ -63,7 +63,7 @@
         """Serves one request.
 
         Raises:
-            exceptions.RequestError: There is no answer to give.
+            exceptions.RequestError: The request has no answer.
         """
         state = request[progress.KEY]
         content = await bodies.read(request, self.node.settings.callers)
@@ -95,12 +95,12 @@
         model: str,
         body: Body,
     ) -> types.Request:
-        """Makes what decisions need to know of the request."""
+        """Makes the input of the scheduling decisions for a request."""
         fallback = objects.Kind(
             service=service,
             urgency=accounts.DEFAULT_URGENCY,
             deadline=self.node.settings.callers.deadline,
-            # Generating text acts on nothing outside the engine.
+            # Generating text has no effects outside the engine.
             repeatable=True,
         )
         name, kind = accounts.find_kind(
@@ -167,8 +167,8 @@
     ) -> web.StreamResponse:
         """Answers with server-sent events.
 
-        The response starts with the first token, so that a refusal is still
-        a plain error response.
+        The response starts with the first token, so that a refusal before it
+        is still a plain error response.
         """
         response = web.StreamResponse(
             headers={
@@ -196,7 +196,7 @@
             request[progress.KEY].outcome = error.outcome
             await writer.error(error)
         except ConnectionResetError:
-            # The caller went while its stream was written.
+            # The caller disconnected while the stream was written.
             request[progress.KEY].cancelled = True
         finally:
             await writer.close()
@@ -222,20 +222,20 @@
         self.comment_task: asyncio.Task | None = None
 
     async def start(self) -> None:
-        """Sends the headers, once."""
+        """Sends the headers unless they are sent already."""
         if self.response.prepared:
             return
         await self.response.prepare(self.request)
         self.comment_task = asyncio.create_task(self.send_comments())
 
     async def send_comments(self) -> None:
-        """Shows a silent caller now and then that the stream is alive."""
+        """Sends comments at intervals to keep the stream open."""
         while True:
             await asyncio.sleep(COMMENT_INTERVAL)
             await self.response.write(sse.COMMENT)
 
     async def token(self, part: answers.AnswerToken) -> None:
-        """Sends one token with the position after it."""
+        """Sends one token with its position in the stream."""
         await self.start()
         self.request[progress.KEY].record_answer_start()
         if part.dispatch != self.dispatch:
@@ -248,14 +248,14 @@
         await self.response.write(sse.render(event))
 
     async def finish(self, finish: tokens.Finish) -> None:
-        """Sends the finish, the outcome and the end marker."""
+        """Sends the finish reason, the outcome and the end marker."""
         await self.start()
         data = self.chunk({}, finish)
         done = sse.render(sse.ServerEvent(tokens.DONE))
         await self.response.write(sse.render(sse.ServerEvent(data)) + done)
 
     async def error(self, error: exceptions.RequestError) -> None:
-        """Sends the final answer of a stream that cannot be completed."""
+        """Sends the error event of a stream that cannot be completed."""
         data = msgspec.json.encode(problems.document(error)).decode()
         event = sse.ServerEvent(data, event="error")
         await self.response.write(sse.render(event))
@@ -269,7 +269,7 @@
                 await self.response.write_eof()
 
     def chunk(self, delta: dict, finish: tokens.Finish | None) -> str:
-        """Makes one chunk's JSON."""
+        """Encodes one chunk as JSON."""
         document = {
             "id": self.answer.request.id,
             "object": "chat.completion.chunk",
@@ -290,10 +290,10 @@
 
 @contextlib.asynccontextmanager
 async def enforce_deadline(answer: answers.EngineAnswer):
-    """Gives an answer up at its deadline.
+    """Aborts an answer at its deadline.
 
     Raises:
-        exceptions.RequestError: The deadline passed inside.
+        exceptions.RequestError: The deadline passed within the context.
     """
     left = answer.request.deadline - time.monotonic()
     try:
@@ -305,10 +305,11 @@
 
 
 def read_body(content: bytes) -> Body:
-    """Checks a request's body.
+    """Decodes and validates a request's body.
 
     Raises:
-        exceptions.RequestInvalid: With the member and the reason.
+        exceptions.RequestInvalid: The body is invalid; the detail names the
+            member and the reason.
     """
     try:
         return msgspec.json.decode(content, type=Body)
--- a/packages/gypsumfold/src/gypsumfold/callers/key_errors.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/key_errors.py
@@ -1,15 +1,15 @@
-"""The errors of calls under a key, each with what it may promise."""
+"""Errors of calls with an idempotency key, each with its safe outcome."""
 
 from gypsumfold import claims
 from gypsumfold import exceptions
 from gypsumfold import outcomes
 
-# Seconds after which a repeat under the same key makes sense.
+# Seconds after which a caller should retry with the same key.
 RETRY_AFTER = 1.0
 
 
 def conflict() -> exceptions.KeyConflict:
-    """Makes the error of a key that belongs to another body."""
+    """Returns the error of a key that was used with another call or body."""
     return exceptions.KeyConflict(
         "this key was used before with another call or body; this one has "
         "not run and cannot",
@@ -18,7 +18,7 @@
 
 
 def cannot_run(step: claims.Step) -> exceptions.RequestError:
-    """Makes the error of a key under which nothing more can run."""
+    """Returns the error of a key with which no call can run any more."""
     if step == claims.Step.CONFLICT:
         return conflict()
     if step == claims.Step.CLOSED:
@@ -31,7 +31,7 @@
 
 
 def out_of_window(age: claims.Age) -> exceptions.KeyExpired:
-    """Makes the error of a key whose own time is out of the window."""
+    """Returns the error of a key whose timestamp is outside the window."""
     words = "old" if age == claims.Age.OLD else "far in the future"
     return exceptions.KeyExpired(
         f"this key is too {words} to tell whether it has run",
@@ -40,7 +40,7 @@
 
 
 def holder_unreachable() -> exceptions.AnswerUndetermined:
-    """Makes the error of a key whose holder cannot be asked."""
+    """Returns the error of a key whose holder does not answer."""
     return exceptions.AnswerUndetermined(
         "another node holds this key and cannot be asked",
         outcomes.Outcome.UNDETERMINED,
@@ -49,7 +49,7 @@
 
 
 def claim_failed(reason: str) -> exceptions.Unavailable:
-    """Makes the error of a key that could not be claimed."""
+    """Returns the error of a key that could not be claimed."""
     return exceptions.Unavailable(
         f"{reason}; repeat with the same key, or use a key from /v1/keys",
         outcomes.Outcome.UNDETERMINED,
@@ -58,13 +58,14 @@
 
 
 def as_undetermined(error: exceptions.RequestError) -> exceptions.RequestError:
-    """Makes an error without the promise that nothing has run.
+    """Changes the outcome of an error from not-run to undetermined.
 
     Args:
-        error: Of one attempt, which has not run.
+        error: The error of one attempt.
 
     Returns:
-        The same for a request of which other attempts may exist.
+        The error for a request of which other attempts may run; the same
+        error if its outcome is not not-run.
     """
     if error.outcome != outcomes.Outcome.NOT_RUN:
         return error
--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -1,9 +1,9 @@
-"""Calls under a caller's idempotency key: claimed on the log, run once.
+"""Calls with a caller's idempotency key: claimed on the log, run once.
 
-`claims.Claims` decides; this module appends, reads back, asks other nodes
-and dispatches. The claim of a node stays the winning one until that node
-itself ends it, so that a pause at any point changes nothing but the time,
-which is checked again as the body goes out.
+`claims.Claims` decides which attempt runs. This module appends claims, reads
+them back, queries other nodes and dispatches. The claim of a node stays the
+winning one until that node itself ends it. A pause at any point can therefore
+only make a call late, and the deadline is checked again when the body is sent.
 """
 
 import asyncio
@@ -23,30 +23,30 @@
 
 thrift = framing.peers_thrift
 
-# Seconds for one question to the node that holds a key, and between two.
-# A heartbeat is 0.5 s; a node that is silent for longer is frozen, cut off
-# or gone, and the caller is told so at once.
+# Timeout of a query to the node that holds a key, and the interval between
+# queries. Heartbeats are sent every 0.5 s; a node that is silent for longer is
+# frozen, partitioned or stopped, and the caller gets an error at once.
 QUERY_TIMEOUT_SECONDS = 1.0
 QUERY_INTERVAL_SECONDS = 1.0
-# Seconds without an answer from the log until keyed calls are refused at
-# once; a reset connection alone is replaced within half a second.
+# How long the log may be silent before keyed calls are refused at once. A reset
+# connection alone is replaced within half a second.
 MAX_LOG_SILENCE_SECONDS = 2.0
 
 AccountKey = tuple[str, str]
 
 
 class Attempt:
-    """One node's attempt at one key, on behalf of all who ask this node.
+    """A node's attempt at one key, shared by all its requests with the key.
 
     Attributes:
-        claim: What it claims.
-        service_call: What it would run.
-        claimed: Whether the claim may stand on the log.
-        read_back: Whether the claim's offset was read.
-        released: Whether it will never dispatch (again).
-        result: How it ended; None before.
-        changed: Set when the log says something new of the key.
-        task: Runs it.
+        claim: The claim for the key.
+        service_call: The call to run.
+        claimed: Whether the log may contain the claim.
+        read_back: Whether the log was read up to the claim's offset.
+        released: Whether the attempt will never dispatch (again).
+        result: The result; None while the attempt is in progress.
+        changed: Set when the log has a new record of the key.
+        task: Runs the attempt.
     """
 
     def __init__(
@@ -93,7 +93,7 @@
         )
 
     def apply(self, entry: records.Entry) -> None:
-        """Takes an entry of the claims stream and wakes whom it concerns."""
+        """Applies an entry of the claims stream and wakes affected attempts."""
         self.claims.apply(entry)
         for record in entry.records:
             attempt = self.attempts.get((record.account, record.key))
@@ -105,15 +105,15 @@
     async def call(
         self, key: str, digest: str, service_call: call_runner.ServiceCall
     ) -> call_results.CallResult:
-        """Serves one request under a key.
+        """Serves one request with a key.
 
         Args:
-            key: Canonical.
-            digest: Over the call and its body.
-            service_call: What the request wants.
+            key: The idempotency key in canonical form.
+            digest: Digest of the call and its body.
+            service_call: The requested call.
 
         Returns:
-            How the call ended, by this attempt or another one.
+            The result of the call, from this attempt or another one.
         """
         account_key = (service_call.request.account, key)
         attempt = self.attempts.get(account_key)
@@ -125,11 +125,11 @@
             attempt.task = asyncio.create_task(self.run(attempt))
         if attempt.claim.digest != digest:
             return call_results.CallResult(None, key_errors.conflict())
-        # It goes on when its caller goes: the repeat will ask for its end.
+        # The call continues if its caller disconnects: a retry gets its result.
         return await asyncio.shield(attempt.task)
 
     async def run(self, attempt: Attempt) -> call_results.CallResult:
-        """Brings one attempt to its end."""
+        """Runs one attempt to its end."""
         try:
             result = await self.advance(attempt)
         except exceptions.RequestError as error:
@@ -141,7 +141,7 @@
         return result
 
     async def advance(self, attempt: Attempt) -> call_results.CallResult:
-        """Takes one step after the other, as the claims allow."""
+        """Performs the steps that the claims allow, until there is a result."""
         while attempt.service_call.is_in_time():
             step = self.claims.step(attempt.claim, attempt.read_back)
             if step == claims_module.Step.CLAIM:
@@ -171,7 +171,7 @@
         """Appends the claim and reads it back.
 
         Raises:
-            exceptions.RequestError: It cannot be done now.
+            exceptions.RequestError: The claim cannot be made now.
         """
         now = max(time.time(), self.claims.time)
         age = self.claims.age(attempt.claim.key, now)
@@ -201,12 +201,12 @@
         return up and self.tail.caught_up.is_set()
 
     def can_run(self, attempt: Attempt) -> bool:
-        """Whether the attempt may dispatch at this instant."""
+        """Whether the attempt may dispatch now."""
         step = self.claims.step(attempt.claim, attempt.read_back)
         return step == claims_module.Step.DISPATCH and not attempt.released
 
     async def dispatch(self, attempt: Attempt) -> call_results.CallResult:
-        """Runs the call: the claim is the winning one."""
+        """Runs the call; the attempt's claim is the winning one."""
         try:
             answer = await self.dispatches.run(
                 attempt.service_call, lambda: self.can_run(attempt)
@@ -223,11 +223,11 @@
     async def refuse(
         self, attempt: Attempt, error: exceptions.RequestError
     ) -> call_results.CallResult:
-        """Ends an attempt that has not run and will not.
+        """Ends an attempt that has not run and will not run.
 
         Returns:
-            The error as it is, once the key is closed on the log for all
-            attempts; else with an undetermined outcome.
+            The unchanged error if the log closes the key for all attempts;
+            otherwise the error with an undetermined outcome.
         """
         if attempt.claimed:
             self.release(attempt, closes=True)
@@ -238,7 +238,7 @@
         return call_results.CallResult(None, key_errors.as_undetermined(error))
 
     async def wait_until_closed(self, attempt: Attempt) -> None:
-        """Waits for the release to be read back, as long as a claim may."""
+        """Waits until the release is read back, at most `claim_timeout`."""
         try:
             async with asyncio.timeout(self.claim_timeout):
                 while attempt.claim.id in self.open_claims(attempt):
@@ -248,31 +248,32 @@
             return
 
     def open_claims(self, attempt: Attempt) -> list[str]:
-        """The claims of the attempt's key that still count."""
+        """Returns the valid claims of the attempt's key."""
         slot = self.claims.key_states.get(attempt.account_key)
         return [] if slot is None else slot.claims
 
     def release(self, attempt: Attempt, closes: bool) -> None:
-        """Gives the claim up for good."""
+        """Gives up the claim permanently."""
         attempt.released = True
         self.post(claims_module.Release(*attempt.claim[:3], closes))
 
     def post(self, record: tuple) -> None:
-        """Appends a record when the log takes it."""
+        """Queues a record for the log; logs an event if it is lost."""
         try:
             self.batcher.enqueue(record)
         except exceptions.LogUnavailable as error:
             events.log(events.CLAIM_RECORD_LOST, reason=str(error))
 
     async def wait(self, attempt: Attempt) -> call_results.CallResult | None:
-        """Waits for another node's attempt, and asks that node meanwhile.
+        """Waits for another node's attempt and queries that node.
 
         Returns:
-            How it ended; None where the key's state should be looked at
+            The result of the attempt; None if the key's state must be checked
             again.
 
         Raises:
-            exceptions.AnswerUndetermined: Nobody can tell.
+            exceptions.AnswerUndetermined: The node does not answer or does
+                not know the attempt.
         """
         attempt.changed.clear()
         winner = self.claims.winner(*attempt.account_key)
@@ -296,7 +297,7 @@
         return None
 
     async def query_holder(self, winner: str, attempt: Attempt):
-        """Asks the node that made a claim; None where it does not answer."""
+        """Queries the node that made a claim; None if it does not answer."""
         incarnation = claims_module.incarnation_of(winner)
         for peer in self.node.peers.recently_seen():
             if peer.incarnation != incarnation:
@@ -315,7 +316,7 @@
         return None
 
     async def on_claim_question(self, message, address: str):
-        """Serves another node's question."""
+        """Answers another node's query about a claim."""
         account_key = (message.account, message.key)
         attempt = self.attempts.get(account_key)
         if attempt is not None and attempt.claim.id == message.claim:
@@ -332,7 +333,7 @@
         return thrift.ClaimState(known=True, ending=result)
 
     def remove_ended(self, attempt: Attempt) -> None:
-        """Drops an ended attempt once the log tells its end to all."""
+        """Removes an ended attempt once its end is on the log for all nodes."""
         if attempt.result is None:
             return
         step = self.claims.step(attempt.claim, attempt.read_back)
@@ -340,7 +341,7 @@
             self.attempts.pop(attempt.account_key, None)
 
     async def close(self) -> None:
-        """Waits for attempts in progress and for their records."""
+        """Waits for the attempts in progress and flushes their records."""
         tasks = [a.task for a in self.attempts.values()]
         await asyncio.gather(*tasks, return_exceptions=True)
         await self.batcher.flush(self.claim_timeout)
--- a/packages/gypsumfold/src/gypsumfold/callers/models.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/models.py
@@ -1,4 +1,4 @@
-"""Model names as callers give them: ``model[:adapter][@version]``."""
+"""Parses and resolves model names: ``model[:adapter][@version]``."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class ModelName(NamedTuple):
-    """A model name, taken apart.
+    """The parts of a model name.
 
     >>> ModelName.parse("dispatch-lm:swaps@2")
     ModelName(model='dispatch-lm', adapter='swaps', version='2')
@@ -20,7 +20,7 @@
 
     @classmethod
     def parse(cls, text: str) -> "ModelName":
-        """Takes a name apart."""
+        """Splits a name into its parts."""
         base, _, version = text.partition("@")
         model, _, adapter = base.partition(":")
         return cls(model, adapter, version)
@@ -29,18 +29,18 @@
 def resolve(
     configuration: configuration_module.Configuration, text: str
 ) -> tuple[str, str]:
-    """Finds the service of a model and the full name to ask engines for.
+    """Finds a model's service and the full name to request from engines.
 
     Args:
-        configuration: In force on this node.
-        text: As the caller gave it.
+        configuration: The node's current configuration.
+        text: The model name from the caller's request.
 
     Returns:
         The service, and the name with the model's default version if the
         caller named none and one is declared.
 
     Raises:
-        exceptions.NotFound: No such model, adapter or version.
+        exceptions.NotFound: The model, adapter or version is not declared.
     """
     name = ModelName.parse(text)
     declared = configuration.get("model", name.model)
@@ -63,7 +63,7 @@
 def default_version(
     configuration: configuration_module.Configuration, model: str
 ) -> str:
-    """Gives ``@version`` of a model's default version, or nothing."""
+    """Returns ``@version`` for a model's default version, or ``""``."""
     for name, version in configuration.all("version").items():
         if version.model == model and version.default:
             return "@" + ModelName.parse(name).version
--- a/packages/gypsumfold/src/gypsumfold/callers/problems.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/problems.py
@@ -1,4 +1,4 @@
-"""Errors to callers as RFC 9457 problem documents."""
+"""Converts errors into RFC 9457 problem documents for callers."""
 
 import math
 
@@ -15,10 +15,11 @@
     """Makes the problem document of an error.
 
     Args:
-        error: Why the request ends without its answer.
+        error: The reason why the request has no answer.
 
     Returns:
-        Its members; ``outcome`` and ``retry_after`` (seconds) are ours.
+        The document's members; ``outcome`` and ``retry_after`` (seconds) are
+        extensions of this project.
     """
     members = {
         "type": f"urn:gypsumfold:problem:{error.slug}",
@@ -36,7 +37,7 @@
     """Makes the HTTP response of an error."""
     headers = {outcomes.HEADER: error.outcome}
     if error.retry_after is not None:
-        # RFC 9110 takes whole seconds only; never earlier than meant.
+        # RFC 9110 allows whole seconds only; rounding up avoids an early retry.
         headers["Retry-After"] = str(math.ceil(error.retry_after))
     return web.Response(
         status=error.status,
--- a/packages/gypsumfold/src/gypsumfold/callers/progress.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/progress.py
@@ -1,4 +1,4 @@
-"""What is known of one caller's request while it is served."""
+"""Tracks the progress of a caller's request while it is served."""
 
 import time
 
@@ -9,18 +9,19 @@
 
 
 class Progress:
-    """Follows one request to its final answer.
+    """The progress of one request up to its final answer.
 
     Attributes:
         account: The caller's account; empty before it is known.
-        request: What decisions know of it; None before it is known.
-        first: Seconds from its arrival to the first token or the answer of
-            a plain call; None before it.
-        outcome: What its final answer says.
-        cancelled: Whether its caller went before its end.
-        given_up: Whether the node ends it in a shutdown.
-
-    >>> request[progress.KEY].answered()
+        request: Input of the scheduling decisions; None before it is known.
+        time_to_first: Seconds from the request's arrival to the first token
+            or the answer of a plain call; None before it.
+        outcome: The outcome that the final answer states.
+        started: Arrival of the request (monotonic time).
+        cancelled: Whether the caller disconnected before the end.
+        aborted: Whether the node ends the request because it shuts down.
+
+    >>> request[progress.KEY].record_answer_start()
     """
 
     def __init__(self):
@@ -33,7 +34,7 @@
         self.aborted = False
 
     def record_answer_start(self) -> None:
-        """Notes that the first part of an answer is there."""
+        """Records the time of the first part of the answer."""
         if self.time_to_first is None:
             self.time_to_first = time.monotonic() - self.started
 
@@ -43,5 +44,5 @@
         return time.monotonic() - self.started
 
 
-# The key under which a request carries its progress.
+# Key of the progress in an aiohttp request.
 KEY = web.RequestKey("progress", Progress)
--- a/packages/gypsumfold/src/gypsumfold/callers/resumption.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/resumption.py
@@ -1,4 +1,4 @@
-"""Signed positions in a stream, so that any node can resume it."""
+"""Signed stream positions, with which any node can resume a stream."""
 
 from typing import NamedTuple
 
@@ -12,13 +12,13 @@
 
 
 class Position(NamedTuple):
-    """Where a stream is.
+    """A position in a stream.
 
     Attributes:
-        account: Whose it is.
-        endpoint: The engine that generates it.
-        dispatch: Its id there.
-        index: The last token that the caller has.
+        account: The account that owns the stream.
+        endpoint: The engine that generates the stream.
+        dispatch: ID of the dispatch on that engine.
+        index: Index of the last token that the caller received.
     """
 
     account: str
@@ -28,13 +28,15 @@
 
 
 class PositionSigner:
-    """Writes and reads the ``id:`` of streamed events.
+    """Signs and verifies the ``id:`` of streamed events.
 
-    The signature covers all but the index and is made once for a dispatch:
-    whoever changes the index can only reread a stream of its own.
+    The signature covers everything but the index, so that it is computed
+    only once per dispatch. A caller that changes the index can only reread
+    its own stream.
 
-    >>> positions = Positions(settings.peers)
-    >>> positions.read(positions.prefix("a", "na-1", "d-1") + ".7").index
+    >>> positions = PositionSigner(settings.peers)
+    >>> prefix = positions.sign("a", "na-1", "d-1")
+    >>> positions.verify(prefix + ".7", "a").index
     7
     """
 
@@ -44,19 +46,19 @@
         )
 
     def sign(self, account: str, endpoint: str, dispatch: str) -> str:
-        """Makes the part of the id that is the same for a dispatch."""
+        """Returns the signed part of the ID, which is constant per dispatch."""
         return self.serializer.dumps([account, endpoint, dispatch])
 
     def verify(self, text: str, account: str) -> Position:
-        """Reads the ``Last-Event-ID`` of a caller.
+        """Verifies and parses a caller's ``Last-Event-ID``.
 
         Args:
-            text: The header.
-            account: The caller's, which the stream must be of.
+            text: Value of the header.
+            account: The caller's account, which must own the stream.
 
         Raises:
-            exceptions.RequestInvalid: It is not one of ours, or not this
-                account's.
+            exceptions.RequestInvalid: The signature is invalid or the stream
+                belongs to another account.
         """
         signed, _, index = text.rpartition(".")
         try:
--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -1,4 +1,4 @@
-"""The HTTP server for callers: routes, authentication, errors."""
+"""HTTP server for callers: routes, authentication and error responses."""
 
 import asyncio
 
@@ -16,14 +16,14 @@
 from gypsumfold.callers import problems
 from gypsumfold.callers import progress
 
-# Seconds after which a caller may ask another node for what this one gave up.
+# Seconds after which a caller may retry a request aborted by a shutdown.
 RETRY_AFTER = 1.0
-# Paths that need no account: they are the balancer's.
+# Health checks of the load balancer, which need no account.
 OPEN_PATHS = ("/ready", "/live")
 
 
 class Server:
-    """Makes the application that serves callers.
+    """Builds and runs the web application for callers.
 
     >>> application = Server(node).application()
     """
@@ -34,11 +34,11 @@
 
     @property
     def open_requests(self) -> int:
-        """How many requests are in progress."""
+        """The number of requests in progress."""
         return len(self.running)
 
     def abort_requests(self) -> None:
-        """Ends all requests in progress, each with a final answer."""
+        """Aborts all requests in progress, each with a final answer."""
         for task, state in self.running.items():
             state.aborted = True
             task.cancel()
@@ -64,14 +64,14 @@
     async def end_connections(
         self, request: web.Request, response: web.StreamResponse
     ) -> None:
-        """Closes each connection after its answer in a shutdown."""
+        """Closes each connection after its answer during a shutdown."""
         if self.node.stopping:
             response.force_close()
             response.headers["Connection"] = "close"
 
     @web.middleware
     async def answer_errors(self, request: web.Request, handler):
-        """Turns failures into problem documents and counts the answer."""
+        """Converts errors into problem documents and counts the answer."""
         if request.path in OPEN_PATHS:
             return await handler(request)
         state = progress.Progress()
@@ -105,7 +105,7 @@
             self.record_end(request.path, state)
 
     def record_end(self, path: str, state: progress.Progress) -> None:
-        """Counts one final answer; one that its caller left is not judged."""
+        """Records a final answer; only uncancelled ones reach the reports."""
         self.node.metrics.count(metrics.REQUESTS, label=state.outcome)
         self.node.metrics.timing(metrics.REQUEST_SECONDS, state.elapsed)
         self.node.metrics.gauge(metrics.OPEN_REQUESTS, self.open_requests)
@@ -124,7 +124,7 @@
 
     @web.middleware
     async def authenticate(self, request: web.Request, handler):
-        """Finds the account; refuses where this node is not ready."""
+        """Finds the account; refuses requests if this node is not ready."""
         if request.path in OPEN_PATHS:
             return await handler(request)
         if not self.node.serving():
@@ -146,19 +146,19 @@
         return web.Response(body=body, content_type="application/json")
 
     async def get_ready(self, request: web.Request) -> web.Response:
-        """Tells the balancer whether to send callers here."""
+        """Reports to the load balancer whether this node accepts callers."""
         ready = self.node.ready()
         return web.json_response({"ready": ready}, status=200 if ready else 503)
 
     async def get_live(self, request: web.Request) -> web.Response:
-        """Tells the platform that the process answers."""
+        """Reports to the platform that the process responds."""
         return web.json_response({"live": True})
 
 
 def shutdown_error() -> exceptions.RequestError:
-    """Makes the final answer of a request that outlasts a shutdown.
+    """Returns the error of a request that a shutdown aborts.
 
-    Whether an endpoint goes on with it cannot be said.
+    Its outcome is undetermined, since an endpoint may still complete it.
     """
     return exceptions.AnswerUndetermined(
         "this node stops and the request took longer than its limit",
