--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -113,7 +113,7 @@
             )
         raise self.make_error("no engine could complete the answer")
 
-    async def resume_stream(
+    async def resumed(
         self, position: resumption.Position
     ) -> AsyncIterator[AnswerToken]:
         """Yields the tokens after a position from the engine of the stream.
--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -81,9 +81,7 @@
         last = request.headers.get("Last-Event-ID")
         if last:
             position = self.positions.verify(last, state.account)
-            return await self.stream(
-                request, answer, answer.resume_stream(position)
-            )
+            return await self.stream(request, answer, answer.resumed(position))
         if body.stream:
             return await self.stream(request, answer, answer.parts())
         return await self.send_complete(request, answer)
