--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -75,7 +75,7 @@
 class KeyedCalls:
     """Serves keyed calls on one node.
 
-    >>> answer = await keyed.call(key, digest, service_call)
+    >>> result = await keyed.call(key, digest, service_call)
     """
 
     def __init__(self, node):
@@ -320,17 +320,17 @@
         account_key = (message.account, message.key)
         attempt = self.attempts.get(account_key)
         if attempt is not None and attempt.claim.id == message.claim:
-            result = attempt.result
-            if result is not None:
-                result = call_results.to_thrift(
-                    call_results.without_large_answer(result)
+            ending = attempt.result
+            if ending is not None:
+                ending = call_results.to_thrift(
+                    call_results.without_large_answer(ending)
                 )
-            return thrift.ClaimState(known=True, ending=result)
+            return thrift.ClaimState(known=True, ending=ending)
         outcome = self.claims.outcome(*account_key)
         if outcome is None or outcome.claim != message.claim:
             return thrift.ClaimState(known=False)
-        result = call_results.to_thrift(call_results.from_record(outcome))
-        return thrift.ClaimState(known=True, ending=result)
+        ending = call_results.to_thrift(call_results.from_record(outcome))
+        return thrift.ClaimState(known=True, ending=ending)
 
     def remove_ended(self, attempt: Attempt) -> None:
         """Removes an ended attempt once its end is on the log for all nodes."""
