--- a/packages/gypsumfold/src/gypsumfold/logservice/records.py
+++ b/packages/gypsumfold/src/gypsumfold/logservice/records.py
@@ -1,7 +1,7 @@
 """Typed records on the log, encoded as ``["kind", [fields...]]`` in JSON.
 
-Each module registers its own `NamedTuple` types. A field may be added at the
-end with a default, so that older records still decode.
+Modules that keep records register their own `NamedTuple` types. A field may be
+added at the end with a default, so that older records still decode.
 """
 
 from typing import Any
--- a/packages/gypsumfold/src/gypsumfold/peers/channels.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/channels.py
@@ -17,8 +17,7 @@
 # Signed directions of frames: from the connecting side, and back.
 FROM_CLIENT = b"c"
 FROM_SERVER = b"s"
-# Calls of one peer that are served concurrently; more wait unread in its
-# connection.
+# Calls of one peer that are served concurrently; more wait in its connection.
 CONCURRENT_CALLS = 256
 
 
