--- a/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/connections.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints that do not stay silent unnoticed."""
+"""HTTP connections to endpoints, set up to detect silent failures."""
 
 import asyncio
 import socket
@@ -11,28 +11,29 @@
 from gypsumfold import exceptions
 from gypsumfold import settings as settings_module
 
-# Keepalive probes: first after 2 s of silence, then each second, three of
-# them (Linux tcp(7)); a dead connection shows after about 5 s.
+# TCP keepalive (Linux tcp(7)): the first probe goes out after 2 s of silence,
+# then one each second; after three a dead connection is detected, which takes
+# about 5 s.
 KEEPALIVE_IDLE_SECONDS = 2
 KEEPALIVE_INTERVAL_SECONDS = 1
 KEEPALIVE_PROBES = 3
-# Milliseconds that sent bytes may stay unacknowledged (RFC 5482); the
-# quarantine of settings.control must be longer.
+# How long sent bytes may stay unacknowledged (RFC 5482). The quarantine in
+# settings.control must be longer.
 USER_TIMEOUT_MS = 5000
-# Lets a socket that is bound to the node's address before it connects choose
-# its port when it connects, so that ports are counted per destination
-# (Linux ip(7); the socket module of Python 3.11 does not name it).
+# Delays the choice of the local port of a bound socket until it connects, so
+# that ports are counted per destination (Linux ip(7)). The socket module of
+# Python 3.11 does not define it.
 BIND_ADDRESS_NO_PORT = 24
-# Seconds that an idle connection is kept for the next request. Below the
-# common 15 s of servers, so that the endpoint seldom closes first.
+# How long an idle connection is kept for the next request. Below the 15 s
+# that is common for servers, so that the endpoint rarely closes it first.
 POOL_KEEPALIVE_SECONDS = 10.0
 
 
 def create_socket(address_info) -> socket.socket:
-    """Makes a TCP socket with keepalive and a user timeout.
+    """Creates a TCP socket with keepalive and a user timeout.
 
     Args:
-        address_info: As from ``getaddrinfo``.
+        address_info: An entry returned by ``getaddrinfo``.
 
     Returns:
         A non-blocking socket for aiohttp's connector.
@@ -47,7 +48,7 @@
 
 
 def configure_socket(sock: socket.socket) -> None:
-    """Sets keepalive and the user timeout on a TCP socket."""
+    """Sets keepalive, the user timeout and TCP_NODELAY on a TCP socket."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     tcp = socket.IPPROTO_TCP
     sock.setsockopt(tcp, socket.TCP_NODELAY, 1)
@@ -61,7 +62,7 @@
     """The HTTP clients of a node.
 
     Attributes:
-        pooled: Keeps connections for the next request.
+        pooled: Reuses connections between requests.
         unpooled: Opens a connection for each request.
     """
 
@@ -75,16 +76,17 @@
 
 
 def create_sessions(settings: settings_module.Settings) -> Sessions:
-    """Makes the HTTP clients of a node.
+    """Creates the HTTP clients of a node.
 
-    They connect from the node's own address, so that the other end and all
-    between see which node it is, also on a VM with several addresses.
+    They connect from the node's own address, so that the endpoint and any
+    proxy on the path can identify the node even on a VM with several
+    addresses.
 
     Args:
-        settings: Of the node.
+        settings: The node's settings.
 
     Returns:
-        The sessions; whoever asked for them closes them.
+        The sessions, which the caller must close.
     """
     timeout = aiohttp.ClientTimeout(
         total=None, sock_connect=settings.endpoints.connect_timeout
@@ -117,19 +119,20 @@
     report_type: type[Report],
     timeout: float,
 ) -> Report:
-    """Asks an endpoint for a small report about itself.
+    """Fetches an endpoint's load or health report.
 
     Args:
-        session: Pooled or fresh.
-        url: Of the report.
-        report_type: The type of its JSON.
-        timeout: Seconds for all of it.
+        session: The pooled or the unpooled client.
+        url: The URL of the report.
+        report_type: The type to decode the JSON body as.
+        timeout: Seconds allowed for the entire request.
 
     Returns:
-        The report.
+        The decoded report.
 
     Raises:
-        exceptions.EndpointError: It does not answer in time, or not so.
+        exceptions.EndpointError: The endpoint does not answer in time, or
+            its answer cannot be decoded.
     """
     try:
         async with asyncio.timeout(timeout), session.get(url) as answer:
