--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -1,4 +1,4 @@
-"""The client of a model engine: load, streams of tokens, cancellation."""
+"""A client for model engines: load reports, token streams, cancellation."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -14,25 +14,26 @@
 from gypsumfold.endpoints import sse
 from gypsumfold.endpoints import tokens
 
-# Statuses with which an engine says that it has not started the dispatch.
+# Statuses that show that the engine has not started the dispatch.
 NOT_STARTED_STATUSES = (404, 429, 503)
 
-# Seconds that an engine may take to close a body after its end marker.
+# How long an engine may take to end the body after the end marker.
 DRAIN_TIMEOUT_SECONDS = 0.5
 
 
 class Dispatch(msgspec.Struct):
-    """What is sent to an engine to have one answer generated.
+    """A request to an engine to generate one answer.
 
     Attributes:
-        id: Fresh for each dispatch.
+        id: Unique to each dispatch.
         model: Model, adapter and version.
-        messages: As the caller sent them.
+        messages: The caller's messages, unchanged.
         prior: Tokens that the caller already has.
-        max_tokens: Most tokens of the whole answer, prior ones included.
+        max_tokens: Maximum number of tokens in the complete answer,
+            including ``prior``.
         priority: The urgency; 0 is the most urgent.
-        prefill_from: Address of the engine that has processed the prompt
-            under the same id; empty where there is none.
+        prefill_from: Address of the prefill engine that has processed the
+            prompt under the same id; empty if there is none.
     """
 
     id: str
@@ -45,7 +46,11 @@
 
 
 class Load(msgspec.Struct):
-    """An engine's load report; it lags, and ``taken`` says by how much."""
+    """An engine's load report.
+
+    Reports lag behind the engine's state; ``taken`` is the time of the
+    report on the engine's wall clock.
+    """
 
     incarnation: str
     taken: float
@@ -63,7 +68,7 @@
     changing: bool = False
 
     def has_changed_since(self, earlier: "Load") -> bool:
-        """Whether the engine has done something since an earlier report."""
+        """Whether the engine has been active since an earlier report."""
         figures = (self.running, self.waiting, self.prefill_tokens)
         before = (earlier.running, earlier.waiting, earlier.prefill_tokens)
         return (*figures, self.kv_used, self.cache_sequence) != (
@@ -74,10 +79,10 @@
 
 
 class EngineClient:
-    """Talks to one engine.
+    """A client of one engine.
 
     Attributes:
-        heard: Monotonic time at which any stream last gave something.
+        last_received: Monotonic time at which any stream last received data.
 
     >>> client = EngineClient("10.0.1.1:9000", sessions, settings.endpoints)
     >>> async for item in client.start(dispatch):
@@ -97,18 +102,20 @@
         self.last_received = float("-inf")
 
     async def load(self) -> Load:
-        """Asks for the load report.
+        """Fetches the load report.
 
         Raises:
-            exceptions.EndpointError: It does not answer, or not so.
+            exceptions.EndpointError: The engine does not answer in time, or
+                its answer cannot be decoded.
         """
         return await self.fetch_load(self.sessions.pooled)
 
     async def probe(self) -> Load:
-        """Asks for the load report on a fresh connection.
+        """Fetches the load report on a new connection.
 
         Raises:
-            exceptions.EndpointFailed: The engine itself does not answer.
+            exceptions.EndpointFailed: The engine does not answer, even on a
+                new connection.
         """
         try:
             return await self.fetch_load(self.sessions.unpooled)
@@ -116,7 +123,7 @@
             raise exceptions.EndpointFailed(str(error)) from error
 
     async def fetch_load(self, session: aiohttp.ClientSession) -> Load:
-        """Asks for the load report; see `load`."""
+        """Fetches the load report with a given session; see `load`."""
         limit = self.settings.connect_timeout
         url = f"{self.base_url}/load"
         return await connections.fetch_report(session, url, Load, limit)
@@ -127,11 +134,15 @@
         """Starts a dispatch and yields its tokens, then its finish.
 
         Args:
-            dispatch: With a fresh id.
+            dispatch: The dispatch, with an id that was not used before.
 
         Raises:
-            exceptions.EndpointNotStarted: It cannot have started.
-            exceptions.StreamBroken: The stream ended or went wrong.
+            exceptions.EndpointNotStarted: The engine cannot have started the
+                dispatch.
+            exceptions.EndpointFailed: The engine answered with an error
+                status.
+            exceptions.StreamBroken: The stream ended early, went silent or
+                had an invalid event.
         """
         self.permit.check()
         content = msgspec.json.encode(dispatch)
@@ -157,15 +168,19 @@
     async def resume(
         self, dispatch_id: str, index: int
     ) -> AsyncIterator[tokens.StreamItem]:
-        """Goes on with a stream that was started before.
+        """Resumes the stream of a dispatch that was started earlier.
 
         Args:
-            dispatch_id: Of the dispatch.
-            index: The first token wanted.
+            dispatch_id: Id of the dispatch.
+            index: Index of the first token to receive.
 
         Raises:
-            exceptions.EndpointNotStarted: The engine does not know it.
-            exceptions.StreamBroken: The stream ended or went wrong.
+            exceptions.EndpointNotStarted: The engine does not know the
+                dispatch or cannot be reached.
+            exceptions.EndpointFailed: The engine answered with an error
+                status.
+            exceptions.StreamBroken: The stream ended early, went silent or
+                had an invalid event.
         """
         request = self.sessions.unpooled.get(
             f"{self.base_url}/dispatches/{dispatch_id}",
@@ -175,7 +190,7 @@
             yield item
 
     async def cancel(self, dispatch_id: str) -> None:
-        """Cancels a dispatch; a failure to do so is not reported."""
+        """Cancels a dispatch; connection errors are ignored."""
         limit = aiohttp.ClientTimeout(total=self.settings.connect_timeout)
         url = f"{self.base_url}/dispatches/{dispatch_id}"
         try:
@@ -189,7 +204,7 @@
     async def read_stream(
         self, request, dispatch_id: str, index: int
     ) -> AsyncIterator[tokens.StreamItem]:
-        """Reads one stream, checking each event; see `start`."""
+        """Reads one stream and validates each event; see `start`."""
         try:
             async with asyncio.timeout(self.settings.idle_timeout):
                 response = await request
@@ -214,8 +229,8 @@
             check.check_complete()
             is_complete = True
         finally:
-            # Only a connection whose stream ended as it should is pooled:
-            # on any other, bytes of this answer may still be on their way.
+            # Only the connection of a complete stream returns to the pool:
+            # on any other, bytes of this answer may still arrive.
             if is_complete:
                 await _drain(response)
             else:
@@ -224,7 +239,12 @@
     async def read_events(
         self, response: aiohttp.ClientResponse
     ) -> AsyncIterator[sse.ServerEvent]:
-        """Yields the events of a response, within the idle timeout."""
+        """Yields the events of a response.
+
+        Raises:
+            exceptions.StreamSilent: No data came within the idle timeout.
+            exceptions.StreamBroken: The connection failed.
+        """
         parser = sse.Parser()
         while True:
             try:
@@ -242,7 +262,11 @@
 
 
 async def _drain(response: aiohttp.ClientResponse) -> None:
-    """Reads to the end of a response that is whole, so it can be pooled."""
+    """Reads a complete response to its end so its connection can be pooled.
+
+    The connection is closed instead if more data, an error or a timeout
+    comes before the end.
+    """
     try:
         async with asyncio.timeout(DRAIN_TIMEOUT_SECONDS):
             extra = await response.content.read(1)
