--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -1,4 +1,4 @@
-"""What this node knows of every declared endpoint, by polling each."""
+"""The state of every declared endpoint, kept by polling each."""
 
 import asyncio
 import time
@@ -16,27 +16,31 @@
 from gypsumfold.endpoints import permits
 from gypsumfold.endpoints import services
 
-# Seconds after its last dispatch for which a node polls an endpoint often:
-# longer than the gaps in a steady load, shorter than those of the night.
+# How long after its last dispatch to an endpoint a node polls it at the full
+# rate: longer than the gaps in a steady load, shorter than those at night.
 IN_USE_SECONDS = 2.0
-# An endpoint to which a node sends nothing is polled this much less often.
-# A poll costs 0.39 ms (bench/slopes.py), at 4 a second and 9 endpoints more
-# than a node may spend on control; reports stay younger than a second.
+# Multiplies the poll interval of an endpoint that is not in use. A poll costs
+# 0.39 ms (bench/slopes.py); 4 polls a second of each of 9 endpoints cost more
+# than a node may spend on control. Reports stay younger than a second.
 UNUSED_POLL_FACTOR = 3.0
 
 
 class WatchedEndpoint:
-    """One declared endpoint and what was last heard of it.
+    """One declared endpoint and its last known state.
 
     Attributes:
-        name: As declared.
-        declared: The declaration in force.
-        client: For requests to it.
-        load: Its last report; None before the first.
-        heard: Monotonic time of the last answer; minus infinity before it.
-        used: Monotonic time at which this node last sent work there.
-        vm_leaving: Whether the platform's list says that its VM leaves.
-        permit: Whether this node may dispatch there at all.
+        name: Declared name.
+        declared: The current declaration.
+        client: The client for requests to the endpoint.
+        load: The last report; None before the first.
+        last_seen: Monotonic time at which the last answered poll was sent;
+            minus infinity before the first answer and after `Fleet.suspend`.
+        last_used: Monotonic time at which this node last sent work there;
+            minus infinity before that.
+        vm_leaving: Whether the platform's list of VMs does not show the
+            endpoint's VM as live.
+        permit: Whether this node may dispatch to the endpoint.
+        task: The task that polls the endpoint.
     """
 
     def __init__(self, name: str, declared: objects.Endpoint, client: Any):
@@ -51,11 +55,12 @@
         self.task: asyncio.Task | None = None
 
     def is_open(self, now: float, silent_after: float) -> bool:
-        """Whether new work may go there.
+        """Whether new work may be sent to the endpoint.
 
         Args:
             now: Monotonic seconds.
-            silent_after: Seconds without an answer until it counts as gone.
+            silent_after: Seconds without an answer after which the endpoint
+                counts as unavailable.
         """
         if self.load is None or self.load.leaving or self.vm_leaving:
             return False
@@ -65,7 +70,7 @@
 
 
 class Fleet:
-    """Watches the declared endpoints, one task each.
+    """Polls the declared endpoints, with one task each.
 
     >>> fleet = Fleet(settings, configuration, sessions)
     >>> fleet.replicas("dispatch")
@@ -85,7 +90,7 @@
         self.endpoints: dict[str, WatchedEndpoint] = {}
 
     def sync(self) -> None:
-        """Follows the configuration: starts and ends watching."""
+        """Starts and stops polling to match the configuration."""
         declared = self.configuration.all("endpoint")
         for name in list(self.endpoints):
             watched = self.endpoints[name]
@@ -107,7 +112,7 @@
     def watch(
         self, name: str, endpoint: objects.Endpoint, service: objects.Service
     ) -> None:
-        """Starts to watch an endpoint."""
+        """Starts polling an endpoint."""
         kind = services.ServiceClient
         if service.protocol == "engine":
             kind = engines.EngineClient
@@ -120,7 +125,7 @@
         self.endpoints[name] = watched
 
     async def poll(self, watched: WatchedEndpoint) -> None:
-        """Polls one endpoint for as long as it is declared."""
+        """Polls one endpoint until cancelled."""
         silent = False
         while True:
             asked_at = time.monotonic()
@@ -140,13 +145,13 @@
             await asyncio.sleep(self.poll_interval(watched))
 
     def poll_interval(self, watched: WatchedEndpoint) -> float:
-        """Gives the seconds until the next poll of an endpoint."""
+        """Returns the seconds until the next poll of an endpoint."""
         if time.monotonic() - watched.last_used < IN_USE_SECONDS:
             return self.settings.poll
         return self.settings.poll * UNUSED_POLL_FACTOR
 
     def record_use(self, name: str) -> None:
-        """Notes that this node sends work to an endpoint."""
+        """Records that this node sends work to an endpoint."""
         if name in self.endpoints:
             self.endpoints[name].last_used = time.monotonic()
 
@@ -156,10 +161,11 @@
         load: engines.Load | services.Health,
         asked_at: float,
     ) -> None:
-        """Takes a report in.
+        """Stores a report.
 
-        It counts as heard when it was asked for: a process that wakes from
-        a pause may read an answer as old as the pause.
+        The endpoint counts as seen when the poll was sent, not when the
+        answer was read: a process that resumes after a pause may read an
+        answer as old as the pause.
         """
         was_leaving = watched.load is not None and watched.load.leaving
         if load.leaving and not was_leaving:
@@ -168,16 +174,16 @@
         watched.last_seen = asked_at
 
     def suspend(self, name: str) -> None:
-        """Gives an endpoint no work until it is heard of again.
+        """Sends an endpoint no new work until it answers a poll again.
 
         Args:
-            name: Of an endpoint that refused a connection or a dispatch.
+            name: Name of an endpoint that refused a connection or a dispatch.
         """
         if name in self.endpoints:
             self.endpoints[name].last_seen = float("-inf")
 
     def replicas(self, service: str) -> list[types.Replica]:
-        """Lists the replicas of a service for a decision."""
+        """Lists the replicas of a service as input for scheduling."""
         now = time.monotonic()
         found = []
         for watched in self.endpoints.values():
@@ -187,10 +193,11 @@
         return found
 
     def replica(self, watched: WatchedEndpoint, now: float) -> types.Replica:
-        """Describes one endpoint for a decision.
+        """Describes one endpoint as input for scheduling.
 
-        The report's time is moved from the endpoint's wall clock to this
-        node's monotonic one; a report from the future counts as just taken.
+        The report's time is converted from the endpoint's wall clock to this
+        node's monotonic clock. A report dated in the future counts as just
+        taken.
         """
         load = watched.load
         report = None
@@ -220,7 +227,7 @@
         )
 
     async def close(self) -> None:
-        """Ends all watching."""
+        """Stops all polling."""
         tasks = [w.task for w in self.endpoints.values()]
         for task in tasks:
             task.cancel()
@@ -228,5 +235,5 @@
 
 
 def is_same_process(one: objects.Endpoint, other: objects.Endpoint) -> bool:
-    """Whether two declarations name the same process."""
+    """Whether two declarations describe the same process."""
     return (one.address, one.service) == (other.address, other.service)
