--- a/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
@@ -1,4 +1,4 @@
-"""Permission to dispatch to an engine, asked for as the bytes go out."""
+"""Permission to dispatch to an engine, checked when the body is sent."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -8,39 +8,43 @@
 
 
 class Permit(Protocol):
-    """Whether this node may dispatch to one engine."""
+    """The permission of this node to dispatch to one engine."""
 
     def allows(self) -> bool:
-        """Whether it may at this instant."""
+        """Whether the node may dispatch at this instant."""
 
     def check(self) -> None:
-        """Insists on it.
+        """Checks that the node may dispatch at this instant.
 
         Raises:
-            exceptions.EndpointNotStarted: It may not.
+            exceptions.EndpointNotStarted: The node may not dispatch.
         """
 
     def dispatch(self) -> contextlib.AbstractContextManager[None]:
-        """Counts a dispatch for as long as it is in progress."""
+        """Counts a dispatch while it is in progress."""
 
 
 class AlwaysAllowed:
-    """Where nothing is ever closed."""
+    """A permit that always allows dispatches and counts none."""
 
     def allows(self) -> bool:
-        """Always."""
+        """Returns True."""
         return True
 
     def check(self) -> None:
-        """Always passes."""
+        """Does nothing."""
 
     def dispatch(self) -> contextlib.AbstractContextManager[None]:
-        """Counts nothing."""
+        """Returns a context manager that does nothing."""
         return contextlib.nullcontext()
 
 
 class DispatchBody:
-    """A dispatch's bytes, given out if the permit holds as they are sent."""
+    """The body of a dispatch, sent only if the permit allows it then.
+
+    Attributes:
+        refused: Whether the permit refused the body.
+    """
 
     def __init__(self, permit: Permit, content: bytes):
         self.permit = permit
@@ -48,7 +52,11 @@
         self.refused = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the bytes at once, or raises what the permit raises."""
+        """Yields the body as one chunk.
+
+        Raises:
+            exceptions.EndpointNotStarted: The permit does not allow it.
+        """
         try:
             self.permit.check()
         except exceptions.EndpointNotStarted:
