--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -1,4 +1,4 @@
-"""The client of a plain service: health and single calls."""
+"""A client for plain services: health reports and single calls."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,12 +12,12 @@
 from gypsumfold import settings as settings_module
 from gypsumfold.endpoints import connections
 
-# The header that names the dispatch in both directions.
+# The header that carries the dispatch id in requests and answers.
 DISPATCH_HEADER = "Gypsumfold-Dispatch"
 
 
 class Health(msgspec.Struct):
-    """What a plain service says of itself."""
+    """The health report of a plain service."""
 
     incarnation: str
     taken: float
@@ -26,7 +26,7 @@
 
 
 class Answer(NamedTuple):
-    """The whole answer to one call."""
+    """The complete answer to one call."""
 
     status: int
     content_type: str
@@ -34,28 +34,31 @@
 
 
 class CallBody(payload.BytesPayload):
-    """The body of one call, which goes out after the 100 or never.
+    """The body of one call, sent only after a 100 (Continue) response.
 
     aiohttp writes the payload of a request with ``expect100`` once an
-    interim response has come (measured: features/services.feature). That
-    moment is the last one at which the call can still be held back.
+    interim response has been received (tested in features/services.feature).
+    This is the last moment at which the call can still be withheld.
 
     Attributes:
-        end: Event loop time of the call's deadline.
-        patience: Limits the time until the 100, and from then on until the
+        deadline: Event loop time of the call's deadline.
+        timeout: Limits the wait for the 100, then the time until the
             deadline.
-        sent: Whether any of it may have left: from then on the call may run.
-        over: Whether it is too late to send it.
+        sent: Whether any of the body may have been sent; the service may run
+            the call from then on.
+        call_ended: Whether the attempt has ended, so that it is too late to
+            send the body.
 
-    >>> body = Body(b"{}", permit=lambda: True, end=loop.time() + 2.0)
+    >>> body = CallBody(b"{}", permit=lambda: True, end=loop.time() + 2.0)
     """
 
     def __init__(self, content: bytes, permit: Callable[[], bool], end: float):
-        """Prepares the body.
+        """Initializes the body.
 
         Args:
-            content: Sent as it is.
-            permit: Asked at the instant of sending.
+            content: The bytes to send.
+            permit: Called just before sending; if it returns False, the body
+                is not sent.
             end: Event loop time of the call's deadline.
         """
         super().__init__(content)
@@ -66,7 +69,12 @@
         self.call_ended = False
 
     async def write_with_length(self, writer, content_length) -> None:
-        """Sends the body, once; see the class."""
+        """Sends the body, at most once.
+
+        Raises:
+            exceptions.EndpointNotStarted: It is too late to send the body,
+                it was sent before, or the permit does not allow it.
+        """
         late = self.call_ended or self.sent or self.timeout.expired()
         if late or not self.permit():
             raise exceptions.EndpointNotStarted("no longer to be sent")
@@ -76,7 +84,7 @@
 
 
 class ServiceClient:
-    """Talks to one replica of a plain service.
+    """A client of one replica of a plain service.
 
     >>> client = ServiceClient("10.0.2.1:9000", sessions, settings.endpoints)
     >>> answer = await client.call("hold", b"{}", "dispatch-1", 2.0)
@@ -93,10 +101,11 @@
         self.settings = settings
 
     async def load(self) -> Health:
-        """Asks for the replica's health.
+        """Fetches the replica's health report.
 
         Raises:
-            exceptions.EndpointError: It does not answer, or not so.
+            exceptions.EndpointError: The replica does not answer in time, or
+                its answer cannot be decoded.
         """
         limit = self.settings.connect_timeout
         url = f"{self.base_url}/health"
@@ -111,22 +120,22 @@
         timeout: float,
         permit: Callable[[], bool] = lambda: True,
     ) -> Answer:
-        """Makes one call, once.
+        """Makes a call that runs at most once.
 
         Args:
-            name: Of the call.
-            body: Sent as it is.
-            dispatch_id: Fresh for each dispatch.
-            timeout: Seconds for the whole call.
-            permit: Asked when the replica is ready for the body; if it says
-                no, the body is not sent.
+            name: Name of the call.
+            body: The bytes to send.
+            dispatch_id: Unique to each dispatch.
+            timeout: Seconds allowed for the entire call.
+            permit: Called when the replica is ready for the body; if it
+                returns False, the body is not sent.
 
         Returns:
-            The answer, checked to be of this dispatch.
+            The answer, checked to belong to this dispatch.
 
         Raises:
-            exceptions.EndpointNotStarted: It cannot have run.
-            exceptions.EndpointUndetermined: It may have run.
+            exceptions.EndpointNotStarted: The call cannot have run.
+            exceptions.EndpointUndetermined: The call may have run.
         """
         deadline = asyncio.get_running_loop().time() + timeout
         call_body = CallBody(body, permit, deadline)
@@ -137,7 +146,7 @@
         except exceptions.EndpointNotStarted as error:
             if not is_stale_connection(error):
                 raise
-        # Only the pooled connection may have failed; a new one tells.
+        # The fault may be in the pooled connection alone, so try a new one.
         call_body = CallBody(body, permit, deadline)
         return await self.send(
             self.sessions.unpooled, name, call_body, dispatch_id
@@ -150,7 +159,7 @@
         call_body: CallBody,
         dispatch_id: str,
     ) -> Answer:
-        """Makes one try on one connection; see `call`."""
+        """Makes one attempt on one connection; see `call`."""
         now = asyncio.get_running_loop().time()
         limit = now + self.settings.connect_timeout
         call_body.timeout = asyncio.timeout_at(min(limit, call_body.deadline))
@@ -174,8 +183,8 @@
         dispatch_id: str,
     ) -> Answer:
         """Sends one call and reads its answer; see `call`."""
-        # A body of no bytes is chunked: its end is then a chunk of its own
-        # that waits for the 100, too. A redirect would send the call twice.
+        # An empty body is chunked, so that its final chunk also waits for
+        # the 100. A redirect would send the call twice.
         async with session.post(
             f"{self.base_url}/calls/{name}",
             data=call_body,
@@ -197,7 +206,7 @@
 
 
 def is_stale_connection(error: exceptions.EndpointNotStarted) -> bool:
-    """Whether a connection failed that was open, before its 100 came."""
+    """Whether an open connection failed before its 100 was received."""
     if isinstance(error.__cause__, aiohttp.ClientConnectorError):
         return False
     connection_errors = (
@@ -209,7 +218,7 @@
 
 
 def early_answer_error(status: int) -> exceptions.EndpointError:
-    """Makes the error of a final answer that came instead of the 100."""
+    """Returns the error for a final answer received instead of the 100."""
     if status < 400:
         return exceptions.EndpointUndetermined(
             f"status {status} before the body was sent"
