--- a/packages/gypsumfold/src/gypsumfold/endpoints/sse.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/sse.py
@@ -1,16 +1,15 @@
-"""Server-sent events, read from bytes and written to bytes (WHATWG HTML)."""
+"""Parsing and rendering of server-sent events (WHATWG HTML)."""
 
 from typing import NamedTuple
 
 from gypsumfold import exceptions
 
-# Largest event that is accepted, in bytes. An engine's event carries one
-# token; anything of this size is not one.
+# An engine's event carries one token, so a larger event is an error.
 MAX_EVENT_BYTES = 64 * 1024
 
 
 class ServerEvent(NamedTuple):
-    """One event: its data lines joined, its type and its id."""
+    """One event: its joined data lines, its type and its id."""
 
     data: str
     event: str = ""
@@ -28,13 +27,13 @@
         self.buffer = b""
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """Takes the next bytes in.
+        """Parses the next bytes of the stream.
 
         Args:
-            data: Bytes as they came, cut anywhere.
+            data: The bytes received; an event may be split at any byte.
 
         Returns:
-            The events that are complete now; comments are left out.
+            The events that these bytes complete, without comments.
 
         Raises:
             exceptions.StreamBroken: An event is too large or not UTF-8.
@@ -74,13 +73,13 @@
 
 
 def render(event: ServerEvent) -> bytes:
-    """Writes one event.
+    """Renders one event.
 
     Args:
-        event: Its data may have several lines.
+        event: The event; its data may have several lines.
 
     Returns:
-        The bytes, with the empty line at the end.
+        The bytes, including the blank line that ends the event.
     """
     lines = []
     if event.id:
@@ -92,5 +91,5 @@
     return ("\n".join(lines) + "\n\n").encode()
 
 
-# A comment: keeps the connection open and says nothing.
+# An empty comment, sent to keep the connection open.
 COMMENT = b":\n\n"
