--- a/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/tokens.py
@@ -1,4 +1,4 @@
-"""The tokens of one stream, each event checked against what must come."""
+"""Decoding and validation of the events of one token stream."""
 
 from typing import NamedTuple
 
@@ -7,25 +7,25 @@
 from gypsumfold import exceptions
 from gypsumfold.endpoints import sse
 
-# The last event's data in a stream, by the chat-completions convention.
+# Data of the last event of a stream, as in the chat completions API.
 DONE = "[DONE]"
 
 
 class Token(NamedTuple):
-    """One token of an answer and its place in it, from 0."""
+    """One token of an answer and its index, counted from 0."""
 
     index: int
     text: str
 
 
 class Finish(NamedTuple):
-    """The end of an answer, checked against the tokens that came."""
+    """The end of an answer; ``tokens`` is checked against those received."""
 
     reason: str
     tokens: int
 
 
-# What a stream gives: tokens in order, then its finish.
+# A stream yields its tokens in order, then its finish.
 StreamItem = Token | Finish
 
 
@@ -38,7 +38,7 @@
 
 
 class StreamValidator:
-    """Checks each event of a stream against what must come next."""
+    """Checks that the events of a stream are complete and in order."""
 
     def __init__(self, dispatch_id: str, index: int):
         self.dispatch_id = dispatch_id
@@ -47,7 +47,15 @@
         self.done = False
 
     def validate(self, event: sse.ServerEvent) -> StreamItem | None:
-        """Returns what the event says; None at the end marker."""
+        """Decodes and checks the next event.
+
+        Returns:
+            The token or the finish, or None for the end marker.
+
+        Raises:
+            exceptions.StreamBroken: The event is invalid, out of order or of
+                another dispatch.
+        """
         if event.data == DONE:
             self.done = True
             return None
@@ -70,6 +78,10 @@
         return Token(wire.index, wire.token)
 
     def check_complete(self) -> None:
-        """Raises unless finish and end marker both came."""
+        """Checks that both the finish and the end marker were received.
+
+        Raises:
+            exceptions.StreamBroken: One of them is missing.
+        """
         if not self.finished or not self.done:
             raise exceptions.StreamBroken("the stream is truncated")
