--- a/packages/gypsumfold/src/gypsumfold/endpoints/__init__.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/__init__.py
@@ -1,1 +1,1 @@
-"""Model engines and plain services, as the node meets them."""
+"""Clients of model engines and plain services."""
