--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -52,7 +52,9 @@
     >>> body = CallBody(b"{}", permit=lambda: True, end=loop.time() + 2.0)
     """
 
-    def __init__(self, content: bytes, permit: Callable[[], bool], end: float):
+    def __init__(
+        self, content: bytes, permit: Callable[[], bool], deadline: float
+    ):
         """Initializes the body.
 
         Args:
@@ -63,7 +65,7 @@
         """
         super().__init__(content)
         self.permit = permit
-        self.deadline = end
+        self.deadline = deadline
         self.timeout: asyncio.Timeout | None = None
         self.sent = False
         self.call_ended = False
