--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -113,10 +113,10 @@
         self, name: str, endpoint: objects.Endpoint, service: objects.Service
     ) -> None:
         """Starts polling an endpoint."""
-        kind = services.ServiceClient
+        client_type = services.ServiceClient
         if service.protocol == "engine":
-            kind = engines.EngineClient
-        client = kind(endpoint.address, self.sessions, self.settings)
+            client_type = engines.EngineClient
+        client = client_type(endpoint.address, self.sessions, self.settings)
         watched = WatchedEndpoint(name, endpoint, client)
         if service.protocol == "engine" and self.permissions is not None:
             watched.permit = permissions.Permit(self.permissions, name)
