--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -191,11 +191,11 @@
 
     async def cancel(self, dispatch_id: str) -> None:
         """Cancels a dispatch; connection errors are ignored."""
-        limit = aiohttp.ClientTimeout(total=self.settings.connect_timeout)
+        timeout = aiohttp.ClientTimeout(total=self.settings.connect_timeout)
         url = f"{self.base_url}/dispatches/{dispatch_id}"
         try:
             async with self.sessions.pooled.delete(
-                url, timeout=limit
+                url, timeout=timeout
             ) as answer:
                 await answer.read()
         except (aiohttp.ClientError, TimeoutError):
