--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -124,9 +124,9 @@
 
     async def fetch_load(self, session: aiohttp.ClientSession) -> Load:
         """Fetches the load report with a given session; see `load`."""
-        limit = self.settings.connect_timeout
+        timeout = self.settings.connect_timeout
         url = f"{self.base_url}/load"
-        return await connections.fetch_report(session, url, Load, limit)
+        return await connections.fetch_report(session, url, Load, timeout)
 
     async def start(
         self, dispatch: Dispatch
