--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -109,10 +109,10 @@
             exceptions.EndpointError: The replica does not answer in time, or
                 its answer cannot be decoded.
         """
-        limit = self.settings.connect_timeout
+        timeout = self.settings.connect_timeout
         url = f"{self.base_url}/health"
         pooled = self.sessions.pooled
-        return await connections.fetch_report(pooled, url, Health, limit)
+        return await connections.fetch_report(pooled, url, Health, timeout)
 
     async def call(
         self,
