--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -163,8 +163,10 @@
     ) -> Answer:
         """Makes one attempt on one connection; see `call`."""
         now = asyncio.get_running_loop().time()
-        limit = now + self.settings.connect_timeout
-        call_body.timeout = asyncio.timeout_at(min(limit, call_body.deadline))
+        continue_deadline = now + self.settings.connect_timeout
+        call_body.timeout = asyncio.timeout_at(
+            min(continue_deadline, call_body.deadline)
+        )
         try:
             async with call_body.timeout:
                 return await self.exchange(
