--- a/packages/gypsumfold/src/gypsumfold/endpoints/services.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/services.py
@@ -49,7 +49,7 @@
         call_ended: Whether the attempt has ended, so that it is too late to
             send the body.
 
-    >>> body = CallBody(b"{}", permit=lambda: True, end=loop.time() + 2.0)
+    >>> body = CallBody(b"{}", permit=lambda: True, deadline=loop.time() + 2.0)
     """
 
     def __init__(
@@ -61,7 +61,7 @@
             content: The bytes to send.
             permit: Called just before sending; if it returns False, the body
                 is not sent.
-            end: Event loop time of the call's deadline.
+            deadline: Event loop time of the call's deadline.
         """
         super().__init__(content)
         self.permit = permit
