--- a/features/steps/burn_steps.py
+++ b/features/steps/burn_steps.py
@@ -44,7 +44,7 @@
     for minute in range(minutes):
         for number in range(every):
             context.counters.add(
-                "dispatch", 1, number > 0, NOW - minute * burn.MINUTE
+                "dispatch", 1, number > 0, NOW - minute * burn.MINUTE_SECONDS
             )
 
 
@@ -65,7 +65,7 @@
         for number in range(5):
             good = number > 0 or minute < minutes
             context.counters.add(
-                "dispatch", 1, good, NOW - minute * burn.MINUTE
+                "dispatch", 1, good, NOW - minute * burn.MINUTE_SECONDS
             )
 
 
--- a/packages/gypsumfold/src/gypsumfold/burn.py
+++ b/packages/gypsumfold/src/gypsumfold/burn.py
@@ -13,7 +13,7 @@
 from gypsumfold.logservice import records
 
 # Seconds of one row of counts.
-MINUTE = 60
+MINUTE_SECONDS = 60
 
 
 class Row(NamedTuple):
@@ -98,7 +98,7 @@
             good: Whether it was whole and on time.
             now: Seconds since the epoch.
         """
-        minute = int(now // MINUTE)
+        minute = int(now // MINUTE_SECONDS)
         counts = self.minutes.setdefault(minute, collections.Counter())
         counts[service, urgency, good] += 1
         self.dirty.add(minute)
@@ -117,7 +117,7 @@
 
     def appended(self, batch: list[BurnMinute], now: float) -> None:
         """Notes that records are on the log and forgets past minutes."""
-        current = int(now // MINUTE)
+        current = int(now // MINUTE_SECONDS)
         for record in batch:
             if record != self.record(record.minute):
                 continue
@@ -278,7 +278,7 @@
     series: dict[int, tuple[int, int]], minutes: int, now: float
 ) -> tuple[int, int]:
     """Adds up the last minutes, the current one included."""
-    current = int(now // MINUTE)
+    current = int(now // MINUTE_SECONDS)
     good = bad = 0
     for minute, counts in series.items():
         if not current - minutes < minute <= current:
--- a/packages/gypsumfoldctl/src/gypsumfoldctl/burns.py
+++ b/packages/gypsumfoldctl/src/gypsumfoldctl/burns.py
@@ -38,7 +38,7 @@
         members["rates"] = rates
         members["share_good"] = share_good(objective)
         objectives.append(members)
-    since = report.since * burn.MINUTE or None
+    since = report.since * burn.MINUTE_SECONDS or None
     return {"made": report.made, "since": since, "objectives": objectives}
 
 
@@ -110,7 +110,7 @@
     """Says since when there are counts."""
     if not report.since:
         return "no request was counted"
-    return f"counts since {moment(report.since * burn.MINUTE)}"
+    return f"counts since {moment(report.since * burn.MINUTE_SECONDS)}"
 
 
 def html(report: burn.Report) -> str:
@@ -141,7 +141,7 @@
     from matplotlib import pyplot
 
     counts = {minute: (good, bad) for minute, good, bad in objective.series}
-    current = int(now // burn.MINUTE)
+    current = int(now // burn.MINUTE_SECONDS)
     first = max(min(counts, default=current), current - PLOT_MINUTES)
     minutes = range(first, current + 1)
     ages = [minute - current for minute in minutes]
