--- a/packages/gypsumfold/src/gypsumfold/burn.py
+++ b/packages/gypsumfold/src/gypsumfold/burn.py
@@ -115,7 +115,7 @@
         """
         return [self.record(minute) for minute in sorted(self.dirty)]
 
-    def appended(self, batch: list[BurnMinute], now: float) -> None:
+    def mark_appended(self, batch: list[BurnMinute], now: float) -> None:
         """Notes that records are on the log and forgets past minutes."""
         current = int(now // MINUTE_SECONDS)
         for record in batch:
--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -73,7 +73,7 @@
             await self.log.append(records.BURN, batch)
         except exceptions.PlatformError:
             return
-        self.counters.appended(batch, now)
+        self.counters.mark_appended(batch, now)
 
     async def report(self) -> burn.Report:
         """Reads the burn stream and makes the report.
