--- a/packages/gypsumfold/src/gypsumfold/burn.py
+++ b/packages/gypsumfold/src/gypsumfold/burn.py
@@ -242,11 +242,11 @@
     for name, objective in sorted(declared.items()):
         series = ledger.series(objective.service, objective.urgency)
         first.extend(list(series)[:1])
-        found.append(judge(name, objective, series, now))
+        found.append(evaluate_objective(name, objective, series, now))
     return Report(now, min(first, default=0), tuple(found))
 
 
-def judge(
+def evaluate_objective(
     name: str,
     objective: objects.Objective,
     series: dict[int, tuple[int, int]],
