--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -18,7 +18,7 @@
 # Entries kept for peers that are a little behind; others get a snapshot.
 # A peer that missed a minute at the design's 1,500 changes a day is one
 # entry behind.
-RECENT = 512
+MAX_RECENT_ENTRIES = 512
 
 
 class Configuration:
@@ -49,7 +49,7 @@
         self.outcomes: dict[str, changes.Outcome] = {}
         self.waiting: dict[int, records.Entry] = {}
         self.recent: collections.deque[records.Entry] = collections.deque(
-            maxlen=RECENT
+            maxlen=MAX_RECENT_ENTRIES
         )
         self.assembler = snapshots.Assembler()
         self.subscribers: list[Callable[[], None]] = []
