--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -133,7 +133,7 @@
             changes.check_ahead(change.change_id, self.clock)
             draft.run(change)
         except exceptions.ChangeRejected as error:
-            self.conclude(
+            self.record_outcome(
                 changes.Outcome(
                     change.change_id,
                     offset,
@@ -145,9 +145,9 @@
             return
         self.objects = draft.objects
         self.revision = offset
-        self.conclude(changes.Outcome(change.change_id, offset, True))
+        self.record_outcome(changes.Outcome(change.change_id, offset, True))
 
-    def conclude(self, outcome: changes.Outcome) -> None:
+    def record_outcome(self, outcome: changes.Outcome) -> None:
         """Remembers an outcome and tells the watchers."""
         self.outcomes[outcome.change_id] = outcome
         for watcher in self.watchers:
