--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -101,7 +101,7 @@
         before = self.revision
         self.advance()
         if self.waiting:
-            self.bridge()
+            self.skip_gap()
         self.assembler.forget(self.position)
         if self.revision != before:
             self.notify()
@@ -161,7 +161,7 @@
                 return
             del self.outcomes[oldest]
 
-    def bridge(self) -> None:
+    def skip_gap(self) -> None:
         """Crosses a gap by the newest snapshot that reaches over it."""
         body = self.assembler.bridging(self.position, min(self.waiting))
         if body is None:
