--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -167,7 +167,7 @@
         if body is None:
             return
         try:
-            self.adopt(snapshots.decode(body))
+            self.apply_snapshot(snapshots.decode(body))
         except exceptions.RecordInvalid:
             self.assembler.body = None
 
@@ -182,11 +182,11 @@
                 has changed.
         """
         before = self.revision
-        self.adopt(snapshot)
+        self.apply_snapshot(snapshot)
         if self.revision != before:
             self.notify()
 
-    def adopt(self, snapshot: snapshots.Snapshot) -> None:
+    def apply_snapshot(self, snapshot: snapshots.Snapshot) -> None:
         """Moves forward to a snapshot and past it; never backwards."""
         if snapshot.offset <= self.position:
             return
