--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -54,7 +54,7 @@
         self.assembler = snapshots.Assembler()
         self.subscribers: list[Callable[[], None]] = []
         self.watchers: list[Callable[[changes.Outcome], None]] = []
-        self.restored: Callable[[snapshots.Snapshot], None] | None = None
+        self.on_restore: Callable[[snapshots.Snapshot], None] | None = None
 
     def get(self, kind: str, name: str) -> objects.Object | None:
         """Returns one object, or None where it is not declared."""
@@ -196,8 +196,8 @@
         self.clock = snapshot.clock
         self.outcomes = {o.change_id: o for o in snapshot.outcomes}
         self.recent.clear()
-        if self.restored is not None:
-            self.restored(snapshot)
+        if self.on_restore is not None:
+            self.on_restore(snapshot)
         for offset in [n for n in self.waiting if n <= self.position]:
             del self.waiting[offset]
         self.advance()
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -83,7 +83,7 @@
         self.served_snapshot: tuple[int, bytes] = (-1, b"")
         peers.handle("config.pull", thrift.ConfigPull, self.serve)
         configuration.watch(log_outcome)
-        configuration.restored = log_restored
+        configuration.on_restore = log_restored
 
     def is_fresh(self) -> bool:
         """Whether the node's configuration is fresh enough to serve."""
