--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -223,7 +223,7 @@
             return False
         return self.assembler.due(self.position, now, retention)
 
-    def since(self, start: int) -> list[records.Entry] | None:
+    def entries_from(self, start: int) -> list[records.Entry] | None:
         """Returns the entries from an offset on, for a peer.
 
         Args:
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -230,7 +230,7 @@
             and message.snapshot == self.served_snapshot[0]
         ):
             return self.snapshot_page(message.part)
-        entries = self.configuration.since(message.start)
+        entries = self.configuration.entries_from(message.start)
         if entries is None:
             snapshot = self.configuration.snapshot()
             self.served_snapshot = (snapshot.offset, snapshots.encode(snapshot))
