--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -212,7 +212,7 @@
             tuple(self.outcomes.values()),
         )
 
-    def snapshot_due(self, now: float, retention: float) -> bool:
+    def is_snapshot_due(self, now: float, retention: float) -> bool:
         """Tells whether a snapshot should go onto the log now.
 
         Args:
--- a/packages/gypsumfold/src/gypsumfold/peers/replication.py
+++ b/packages/gypsumfold/src/gypsumfold/peers/replication.py
@@ -261,7 +261,7 @@
         while True:
             await asyncio.sleep(pause * (0.5 + random.random()))
             waits = 1 + RANK_DELAY_FRACTION * min(self.rank(), MAX_RANK)
-            if not self.is_fresh() or not self.configuration.snapshot_due(
+            if not self.is_fresh() or not self.configuration.is_snapshot_due(
                 time.time(), retention * waits
             ):
                 continue
