--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -163,7 +163,7 @@
 
     def skip_gap(self) -> None:
         """Crosses a gap by the newest snapshot that reaches over it."""
-        body = self.assembler.bridging(self.position, min(self.waiting))
+        body = self.assembler.find_covering(self.position, min(self.waiting))
         if body is None:
             return
         try:
--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -228,7 +228,7 @@
         if self.newest <= position:
             self.body = None
 
-    def bridging(self, position: int, lowest: int) -> bytes | None:
+    def find_covering(self, position: int, lowest: int) -> bytes | None:
         """Returns the snapshot that reaches over a gap, if one is here.
 
         Args:
