--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -180,7 +180,7 @@
         self.unfinished: dict[Header, dict[int, Part]] = {}
         self.times: dict[Header, float] = {}
         self.newest = -1
-        self.taken: float | None = None
+        self.taken_at: float | None = None
         self.body: bytes | None = None
 
     def add(self, part: Part, time: float) -> None:
@@ -208,7 +208,7 @@
         if hashlib.sha256(body).hexdigest() != header.digest:
             return
         self.newest = header.offset
-        self.taken = taken
+        self.taken_at = taken
         self.body = body
         for older in [h for h in self.unfinished if h.offset < self.newest]:
             self.drop(older)
@@ -220,8 +220,8 @@
 
     def started(self, time: float) -> None:
         """Notes the time of an entry, where no snapshot was seen yet."""
-        if self.taken is None:
-            self.taken = time
+        if self.taken_at is None:
+            self.taken_at = time
 
     def forget(self, position: int) -> None:
         """Frees a snapshot that is not ahead of the position."""
@@ -249,6 +249,6 @@
         """
         if position - self.newest > REPUBLISH_ENTRIES:
             return True
-        if self.taken is None:
+        if self.taken_at is None:
             return True
-        return now - self.taken > retention * REPUBLISH_SHARE
+        return now - self.taken_at > retention * REPUBLISH_SHARE
