--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -119,7 +119,7 @@
                 kept.append(record)
                 self.decide(record, entry.offset)
             self.recent.append(entry._replace(records=tuple(kept)))
-            self.assembler.started(entry.time)
+            self.assembler.record_entry_time(entry.time)
             self.expire()
 
     def decide(self, change: changes.Change, offset: int) -> None:
--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -218,7 +218,7 @@
         del self.unfinished[header]
         del self.times[header]
 
-    def started(self, time: float) -> None:
+    def record_entry_time(self, time: float) -> None:
         """Notes the time of an entry, where no snapshot was seen yet."""
         if self.taken_at is None:
             self.taken_at = time
