--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -102,7 +102,7 @@
         self.advance()
         if self.waiting:
             self.skip_gap()
-        self.assembler.forget(self.position)
+        self.assembler.release_body(self.position)
         if self.revision != before:
             self.notify()
 
--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -223,7 +223,7 @@
         if self.taken_at is None:
             self.taken_at = time
 
-    def forget(self, position: int) -> None:
+    def release_body(self, position: int) -> None:
         """Frees a snapshot that is not ahead of the position."""
         if self.newest <= position:
             self.body = None
