--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -221,7 +221,7 @@
         """
         if self.position < 0 or self.waiting:
             return False
-        return self.assembler.due(self.position, now, retention)
+        return self.assembler.is_due(self.position, now, retention)
 
     def entries_from(self, start: int) -> list[records.Entry] | None:
         """Returns the entries from an offset on, for a peer.
--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -239,7 +239,7 @@
             return None
         return self.body
 
-    def due(self, position: int, now: float, retention: float) -> bool:
+    def is_due(self, position: int, now: float, retention: float) -> bool:
         """Tells whether a new snapshot should be published.
 
         Args:
