--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -179,13 +179,13 @@
     def __init__(self):
         self.unfinished: dict[Header, dict[int, Part]] = {}
         self.times: dict[Header, float] = {}
-        self.newest = -1
+        self.newest_offset = -1
         self.taken_at: float | None = None
         self.body: bytes | None = None
 
     def add(self, part: Part, time: float) -> None:
         """Takes one part in; parts of an older snapshot have no use."""
-        if part.offset < self.newest:
+        if part.offset < self.newest_offset:
             return
         header = Header(part.offset, part.digest)
         found = self.unfinished.setdefault(header, {})
@@ -207,10 +207,12 @@
             return
         if hashlib.sha256(body).hexdigest() != header.digest:
             return
-        self.newest = header.offset
+        self.newest_offset = header.offset
         self.taken_at = taken
         self.body = body
-        for older in [h for h in self.unfinished if h.offset < self.newest]:
+        for older in [
+            h for h in self.unfinished if h.offset < self.newest_offset
+        ]:
             self.drop(older)
 
     def drop(self, header: Header) -> None:
@@ -225,7 +227,7 @@
 
     def release_body(self, position: int) -> None:
         """Frees a snapshot that is not ahead of the position."""
-        if self.newest <= position:
+        if self.newest_offset <= position:
             self.body = None
 
     def find_covering(self, position: int, lowest: int) -> bytes | None:
@@ -235,7 +237,7 @@
             position: The last offset before the gap.
             lowest: The first offset after it.
         """
-        if self.newest <= position or self.newest + 1 < lowest:
+        if self.newest_offset <= position or self.newest_offset + 1 < lowest:
             return None
         return self.body
 
@@ -247,7 +249,7 @@
             now: Seconds since the epoch.
             retention: Seconds that the log keeps a record.
         """
-        if position - self.newest > REPUBLISH_ENTRIES:
+        if position - self.newest_offset > REPUBLISH_ENTRIES:
             return True
         if self.taken_at is None:
             return True
