--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -31,7 +31,7 @@
 
 # Bytes that a snapshot may unpack to. The design's 3,800 accounts, 2,900
 # replicas and 22 models come to about 2 MB.
-LARGEST = 64 * 1024 * 1024
+MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
 # Unfinished snapshots remembered at once; their publishers have died.
 MOST_UNFINISHED = 8
@@ -137,10 +137,10 @@
     """
     try:
         unpacker = zlib.decompressobj()
-        text = unpacker.decompress(body, LARGEST)
+        text = unpacker.decompress(body, MAX_UNPACKED_BYTES)
         if unpacker.unconsumed_tail:
             raise exceptions.RecordInvalid(
-                f"a snapshot unpacks to more than {LARGEST} bytes"
+                f"a snapshot unpacks to more than {MAX_UNPACKED_BYTES} bytes"
             )
         return msgspec.json.decode(text, type=Snapshot)
     except (zlib.error, msgspec.DecodeError) as error:
