--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -34,7 +34,7 @@
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
 # Unfinished snapshots remembered at once; their publishers have died.
-MOST_UNFINISHED = 8
+MAX_UNFINISHED = 8
 
 
 class Row(NamedTuple):
@@ -193,7 +193,7 @@
         found[part.part] = part
         if len(found) == part.parts:
             self.finish(header, found)
-        while len(self.unfinished) > MOST_UNFINISHED:
+        while len(self.unfinished) > MAX_UNFINISHED:
             self.drop(next(iter(self.unfinished)))
 
     def finish(self, header: Header, found: dict[int, Part]) -> None:
