--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -24,7 +24,7 @@
 
 # A snapshot is republished when this share of the log's retention has gone
 # by, so that three more tries fit in before it is lost.
-REPUBLISH_SHARE = 0.25
+REPUBLISH_FRACTION = 0.25
 # Entries after which one is due whatever the time: a starting node then
 # reads at most a few pages of the log.
 REPUBLISH_ENTRIES = 1000
@@ -253,4 +253,4 @@
             return True
         if self.taken_at is None:
             return True
-        return now - self.taken_at > retention * REPUBLISH_SHARE
+        return now - self.taken_at > retention * REPUBLISH_FRACTION
