--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -21,7 +21,7 @@
 
 METHOD = "digest"
 # Bounds of one digest; 64 services and 32 accounts take below 6 KB.
-MOST_SERVICES = 64
+MAX_SERVICES = 64
 MOST_ACCOUNTS = 32
 # Rounds after which a digest that was not renewed no longer counts; with
 # six nodes and three peers a round it is missed that often once in 100,000.
@@ -97,7 +97,7 @@
         return thrift.Digest(
             self.incarnation,
             next(self.sequence),
-            demand[:MOST_SERVICES],
+            demand[:MAX_SERVICES],
             hottest[:MOST_ACCOUNTS],
         )
 
