--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -22,7 +22,7 @@
 METHOD = "digest"
 # Bounds of one digest; 64 services and 32 accounts take below 6 KB.
 MAX_SERVICES = 64
-MOST_ACCOUNTS = 32
+MAX_ACCOUNTS = 32
 # Rounds after which a digest that was not renewed no longer counts; with
 # six nodes and three peers a round it is missed that often once in 100,000.
 ROUNDS = 12
@@ -89,16 +89,14 @@
         for name, dispatcher in self.dispatchers.items():
             asked = dispatcher.scheduler.demand(now)
             demand.append(thrift.Demand(name, *asked))
-            for use in dispatcher.scheduler.hottest_accounts(
-                MOST_ACCOUNTS, now
-            ):
+            for use in dispatcher.scheduler.hottest_accounts(MAX_ACCOUNTS, now):
                 hottest.append(thrift.AccountUse(*use, name))
         hottest.sort(key=lambda use: -use.tokens_per_second)
         return thrift.Digest(
             self.incarnation,
             next(self.sequence),
             demand[:MAX_SERVICES],
-            hottest[:MOST_ACCOUNTS],
+            hottest[:MAX_ACCOUNTS],
         )
 
     async def receive(self, message, address: str):
