--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -25,7 +25,7 @@
 MAX_ACCOUNTS = 32
 # Rounds after which a digest that was not renewed no longer counts; with
 # six nodes and three peers a round it is missed that often once in 100,000.
-ROUNDS = 12
+EXPIRY_ROUNDS = 12
 
 
 class Heard(NamedTuple):
@@ -113,7 +113,7 @@
     def distribute(self) -> None:
         """Gives each scheduler what the peers said of its service."""
         now = time.monotonic()
-        horizon = now - ROUNDS * self.settings.heartbeat
+        horizon = now - EXPIRY_ROUNDS * self.settings.heartbeat
         for address in list(self.heard):
             if self.heard[address].time < horizon:
                 del self.heard[address]
