--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -32,7 +32,7 @@
     """A peer's digest and when it came (monotonic)."""
 
     message: object
-    time: float
+    received_at: float
 
 
 class Digests:
@@ -115,7 +115,7 @@
         now = time.monotonic()
         horizon = now - EXPIRY_ROUNDS * self.settings.heartbeat
         for address in list(self.heard):
-            if self.heard[address].time < horizon:
+            if self.heard[address].received_at < horizon:
                 del self.heard[address]
         for name, dispatcher in self.dispatchers.items():
             dispatcher.others = self.demands(name)
