--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -28,7 +28,7 @@
 EXPIRY_ROUNDS = 12
 
 
-class Heard(NamedTuple):
+class ReceivedDigest(NamedTuple):
     """A peer's digest and when it came (monotonic)."""
 
     message: object
@@ -54,7 +54,7 @@
         self.peers = peers
         self.dispatchers = dispatchers
         self.sequence = itertools.count(1)
-        self.heard: dict[str, Heard] = {}
+        self.heard: dict[str, ReceivedDigest] = {}
         peers.handle(METHOD, thrift.Digest, self.receive)
 
     async def run(self) -> None:
@@ -107,7 +107,7 @@
             known.message.incarnation,
             known.message.sequence,
         ):
-            self.heard[address] = Heard(message, time.monotonic())
+            self.heard[address] = ReceivedDigest(message, time.monotonic())
         return thrift.Nothing()
 
     def distribute(self) -> None:
