--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -54,7 +54,7 @@
         self.peers = peers
         self.dispatchers = dispatchers
         self.sequence = itertools.count(1)
-        self.heard: dict[str, ReceivedDigest] = {}
+        self.received: dict[str, ReceivedDigest] = {}
         peers.handle(METHOD, thrift.Digest, self.receive)
 
     async def run(self) -> None:
@@ -101,22 +101,22 @@
 
     async def receive(self, message, address: str):
         """Keeps a peer's digest unless a later one came before it."""
-        known = self.heard.get(address)
+        known = self.received.get(address)
         order = (message.incarnation, message.sequence)
         if known is None or order > (
             known.message.incarnation,
             known.message.sequence,
         ):
-            self.heard[address] = ReceivedDigest(message, time.monotonic())
+            self.received[address] = ReceivedDigest(message, time.monotonic())
         return thrift.Nothing()
 
     def distribute(self) -> None:
         """Gives each scheduler what the peers said of its service."""
         now = time.monotonic()
         horizon = now - EXPIRY_ROUNDS * self.settings.heartbeat
-        for address in list(self.heard):
-            if self.heard[address].received_at < horizon:
-                del self.heard[address]
+        for address in list(self.received):
+            if self.received[address].received_at < horizon:
+                del self.received[address]
         for name, dispatcher in self.dispatchers.items():
             dispatcher.others = self.demands(name)
             dispatcher.scheduler.update_peers(
@@ -126,7 +126,7 @@
     def demands(self, service: str) -> list[types.Demand]:
         """The demand for a service at each peer that was heard of."""
         found = []
-        for heard in self.heard.values():
+        for heard in self.received.values():
             for one in heard.message.demand:
                 if one.service_name != service:
                     continue
@@ -140,7 +140,7 @@
     def uses(self, service: str) -> list[types.AccountUsage]:
         """The hottest accounts of a service at the peers."""
         found = []
-        for heard in self.heard.values():
+        for heard in self.received.values():
             for one in heard.message.hottest:
                 if one.service_name == service:
                     found.append(
