--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -65,7 +65,7 @@
             fanout = min(len(known), self.settings.fanout)
             for address in random.sample(known, fanout):
                 await self.send(address, message)
-            self.distribute()
+            self.update_schedulers()
             await asyncio.sleep(self.settings.heartbeat)
 
     async def send(self, address: str, message) -> None:
@@ -110,7 +110,7 @@
             self.received[address] = ReceivedDigest(message, time.monotonic())
         return thrift.Nothing()
 
-    def distribute(self) -> None:
+    def update_schedulers(self) -> None:
         """Gives each scheduler what the peers said of its service."""
         now = time.monotonic()
         horizon = now - EXPIRY_ROUNDS * self.settings.heartbeat
