--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -118,12 +118,12 @@
             if self.received[address].received_at < horizon:
                 del self.received[address]
         for name, dispatcher in self.dispatchers.items():
-            dispatcher.others = self.demands(name)
+            dispatcher.others = self.peer_demands(name)
             dispatcher.scheduler.update_peers(
                 dispatcher.others, self.uses(name), now
             )
 
-    def demands(self, service: str) -> list[types.Demand]:
+    def peer_demands(self, service: str) -> list[types.Demand]:
         """The demand for a service at each peer that was heard of."""
         found = []
         for heard in self.received.values():
