--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -120,7 +120,7 @@
         for name, dispatcher in self.dispatchers.items():
             dispatcher.others = self.peer_demands(name)
             dispatcher.scheduler.update_peers(
-                dispatcher.others, self.uses(name), now
+                dispatcher.others, self.peer_usage(name), now
             )
 
     def peer_demands(self, service: str) -> list[types.Demand]:
@@ -137,7 +137,7 @@
                 )
         return found
 
-    def uses(self, service: str) -> list[types.AccountUsage]:
+    def peer_usage(self, service: str) -> list[types.AccountUsage]:
         """The hottest accounts of a service at the peers."""
         found = []
         for heard in self.received.values():
