--- a/packages/gypsumfold/src/gypsumfold/control/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/role_planning.py
@@ -108,7 +108,7 @@
         """Returns the callers' demand on all nodes together."""
         dispatcher = self.dispatchers[self.service]
         total = dispatcher.scheduler.demand(now)
-        for other in dispatcher.others:
+        for other in dispatcher.peer_demands:
             total = types.Demand(
                 total.prompt_tokens + other.prompt_tokens,
                 total.output_tokens + other.output_tokens,
--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -118,9 +118,9 @@
             if self.received[address].received_at < horizon:
                 del self.received[address]
         for name, dispatcher in self.dispatchers.items():
-            dispatcher.others = self.peer_demands(name)
+            dispatcher.peer_demands = self.peer_demands(name)
             dispatcher.scheduler.update_peers(
-                dispatcher.others, self.peer_usage(name), now
+                dispatcher.peer_demands, self.peer_usage(name), now
             )
 
     def peer_demands(self, service: str) -> list[types.Demand]:
--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -81,7 +81,7 @@
         self.scheduler = scheduler
         self.fleet = fleet
         self.waiting: dict[str, asyncio.Future] = {}
-        self.others: list[types.Demand] = []
+        self.peer_demands: list[types.Demand] = []
         self.retries = retries.BudgetedRetries(random.Random())
 
     async def retry(self, request: types.Request, attempts: int) -> bool:
