--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -13,7 +13,7 @@
 
 # Seconds between two ticks of a scheduler: reports arrive every 250 ms, and
 # a refusal should not be later than a fifth of that.
-TICK = 0.05
+TICK_SECONDS = 0.05
 # Seconds between two ticks while nothing waits; what arrives is decided at
 # once. At 20 ticks a second two idle services cost 0.4 % of a core.
 IDLE_TICK = 0.25
@@ -145,7 +145,7 @@
             now = time.monotonic()
             self.update(now)
             self.act(self.scheduler.tick(now))
-            await asyncio.sleep(TICK if self.waiting else IDLE_TICK)
+            await asyncio.sleep(TICK_SECONDS if self.waiting else IDLE_TICK)
 
     def act(self, actions: list[types.Action]) -> None:
         """Carries actions out."""
