--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -16,7 +16,7 @@
 TICK_SECONDS = 0.05
 # Seconds between two ticks while nothing waits; what arrives is decided at
 # once. At 20 ticks a second two idle services cost 0.4 % of a core.
-IDLE_TICK = 0.25
+IDLE_TICK_SECONDS = 0.25
 
 
 class Grant:
@@ -145,7 +145,9 @@
             now = time.monotonic()
             self.update(now)
             self.act(self.scheduler.tick(now))
-            await asyncio.sleep(TICK_SECONDS if self.waiting else IDLE_TICK)
+            await asyncio.sleep(
+                TICK_SECONDS if self.waiting else IDLE_TICK_SECONDS
+            )
 
     def act(self, actions: list[types.Action]) -> None:
         """Carries actions out."""
--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -309,7 +309,7 @@
                 was = is_ready
                 event = events.NODE_READY if was else events.NODE_NOT_READY
                 events.log(event, revision=self.configuration.revision)
-            await asyncio.sleep(dispatching.IDLE_TICK)
+            await asyncio.sleep(dispatching.IDLE_TICK_SECONDS)
 
     async def stop_listening(self) -> None:
         """Takes no more connections of callers."""
