--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -282,7 +282,7 @@
                 if isinstance(item, tokens.Finish):
                     self.finish = item
                     continue
-                grant.token()
+                grant.count_token()
                 self.tokens.append(item.text)
                 yield AnswerToken(
                     item.text, item.index, grant.replica, dispatch.id
--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -48,7 +48,7 @@
         self.tokens = 0
         self.over = False
 
-    def token(self) -> None:
+    def count_token(self) -> None:
         """Notes one token of the answer."""
         if self.first_token is None:
             self.first_token = time.monotonic() - self.started
