--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -46,7 +46,7 @@
         self.started = time.monotonic()
         self.first_token: float | None = None
         self.tokens = 0
-        self.over = False
+        self.is_finished = False
 
     def count_token(self) -> None:
         """Notes one token of the answer."""
@@ -56,9 +56,9 @@
 
     def finish(self, finish: types.Finish) -> None:
         """Gives the replica back; a second call does nothing."""
-        if self.over:
+        if self.is_finished:
             return
-        self.over = True
+        self.is_finished = True
         seconds = time.monotonic() - self.started
         result = types.Result(finish, self.first_token, seconds, self.tokens)
         self.dispatcher.finished(self.request.id, result)
