--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -110,7 +110,7 @@
             self.retries.first()
         now = time.monotonic()
         self.update(now)
-        self.act(self.scheduler.offer(request, now))
+        self.carry_out(self.scheduler.offer(request, now))
         try:
             return await future
         except asyncio.CancelledError:
@@ -127,29 +127,29 @@
             return
         self.waiting.pop(request.id, None)
         now = time.monotonic()
-        self.act(self.scheduler.withdraw(request.id, now))
+        self.carry_out(self.scheduler.withdraw(request.id, now))
 
     def finished(self, request_id: str, result: types.Result) -> None:
         """Passes the end of a dispatch on."""
         now = time.monotonic()
-        self.act(self.scheduler.finished(request_id, result, now))
+        self.carry_out(self.scheduler.finished(request_id, result, now))
 
     def update(self, now: float) -> None:
         """Tells the scheduler what is known of the replicas."""
         replicas = self.fleet.replicas(self.service)
-        self.act(self.scheduler.update(replicas, now))
+        self.carry_out(self.scheduler.update(replicas, now))
 
     async def run(self) -> None:
         """Ticks for as long as the service is declared."""
         while True:
             now = time.monotonic()
             self.update(now)
-            self.act(self.scheduler.tick(now))
+            self.carry_out(self.scheduler.tick(now))
             await asyncio.sleep(
                 TICK_SECONDS if self.waiting else IDLE_TICK_SECONDS
             )
 
-    def act(self, actions: list[types.Action]) -> None:
+    def carry_out(self, actions: list[types.Action]) -> None:
         """Carries actions out."""
         for action in actions:
             future = self.waiting.get(action.request.id)
