--- a/packages/gypsumfold/src/gypsumfold/callers/answers.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/answers.py
@@ -101,7 +101,7 @@
                 self.raise_if_not_repeatable(error)
             finally:
                 grant.finish(finish)
-            if not await self.dispatcher.retry(request, attempts):
+            if not await self.dispatcher.wait_for_retry(request, attempts):
                 break
             avoid = request.avoid | {grant.replica}
             request = request._replace(recovered=True, avoid=avoid)
--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -84,7 +84,9 @@
         self.peer_demands: list[types.Demand] = []
         self.retries = retries.BudgetedRetries(random.Random())
 
-    async def retry(self, request: types.Request, attempts: int) -> bool:
+    async def wait_for_retry(
+        self, request: types.Request, attempts: int
+    ) -> bool:
         """Waits before a further attempt; whether one is to be made.
 
         Args:
