--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -104,7 +104,7 @@
         self.calls.append("run")
         if self.calls.count("run") == 1:
             self.restart()
-            raise exceptions.EndpointMistaken("it has another role")
+            raise exceptions.EndpointMismatch("it has another role")
         return WholeAnswer()
 
     async def drop(self, replica: types.Replica, handle: types.Handle) -> None:
--- a/features/support/virtual_engines.py
+++ b/features/support/virtual_engines.py
@@ -320,7 +320,7 @@
         if not found.alive:
             raise exceptions.EndpointGone(f"{replica.address}: refused")
         if found.instance != replica.instance:
-            raise exceptions.EndpointMistaken(f"{replica.instance} is gone")
+            raise exceptions.EndpointMismatch(f"{replica.instance} is gone")
         return found
 
     async def cross(self, call: types.Call) -> None:
@@ -365,7 +365,7 @@
                 raise exceptions.AnswerBroken("the connection ended")
             return answer
         if found.stage != "decode":
-            raise exceptions.EndpointMistaken("another role")
+            raise exceptions.EndpointMismatch("another role")
         events = max(1, call.output_tokens)
         if instructions.last_event:
             events -= int(instructions.last_event) + 1
@@ -382,7 +382,7 @@
         found = await self.reach(replica)
         self.arrive(found, call, False)
         if found.stage != "prefill":
-            raise exceptions.EndpointMistaken("another role")
+            raise exceptions.EndpointMismatch("another role")
         tokens = 0
         for part in call.chain:
             if part.id not in found.cached:
--- a/packages/gypsumfold/src/gypsumfold/exceptions.py
+++ b/packages/gypsumfold/src/gypsumfold/exceptions.py
@@ -117,7 +117,7 @@
     """An endpoint would not take a dispatch; nothing of it has run."""
 
 
-class EndpointMistaken(EndpointRefused):
+class EndpointMismatch(EndpointRefused):
     """The endpoint is another one by now, or has another role."""
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/directory.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/directory.py
@@ -396,7 +396,7 @@
         self, instance: str, error: exceptions.EndpointRefused, now: float
     ) -> None:
         """Pauses a replica that refused a request."""
-        mistaken = isinstance(error, exceptions.EndpointMistaken)
+        mistaken = isinstance(error, exceptions.EndpointMismatch)
         self.pause(
             instance,
             now,
--- a/packages/gypsumfold/src/gypsumfold/gateway/generations.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/generations.py
@@ -31,7 +31,7 @@
 # reach the decode engine, or reached one other than the engine addressed.
 HANDLE_KEEPING_ERRORS = (
     exceptions.EndpointUnreachable,
-    exceptions.EndpointMistaken,
+    exceptions.EndpointMismatch,
 )
 # Seconds between two checks for a decode engine.
 POLL_INTERVAL = 0.03
--- a/packages/gypsumfold/src/gypsumfold/platform/replicas.py
+++ b/packages/gypsumfold/src/gypsumfold/platform/replicas.py
@@ -60,7 +60,7 @@
             raise exceptions.AnswerBroken("an answer to another request came")
         if answer.status == 421:
             await answer.read()
-            raise exceptions.EndpointMistaken(
+            raise exceptions.EndpointMismatch(
                 f"{replica.instance} has another role or is gone"
             )
         if answer.status < 300 and b"content-encoding" in found:
@@ -123,7 +123,7 @@
         """
         status, body = await self.ask(replica, "GET", names.REPORT_PATH)
         if status == 421:
-            raise exceptions.EndpointMistaken(f"{replica.instance} is gone")
+            raise exceptions.EndpointMismatch(f"{replica.instance} is gone")
         if status != 200:
             raise exceptions.EndpointRefused(f"a report ended with {status}")
         return decoding.decode_state(body)
