--- a/features/support/virtual_engines.py
+++ b/features/support/virtual_engines.py
@@ -318,7 +318,7 @@
             await asyncio.sleep(SILENT)
         found = self.fleet.replicas[replica.address]
         if not found.alive:
-            raise exceptions.EndpointGone(f"{replica.address}: refused")
+            raise exceptions.EndpointNotListening(f"{replica.address}: refused")
         if found.instance != replica.instance:
             raise exceptions.EndpointMismatch(f"{replica.instance} is gone")
         return found
--- a/packages/gypsumfold/src/gypsumfold/exceptions.py
+++ b/packages/gypsumfold/src/gypsumfold/exceptions.py
@@ -93,7 +93,7 @@
     """No connection to the endpoint could be opened."""
 
 
-class EndpointGone(EndpointUnreachable):
+class EndpointNotListening(EndpointUnreachable):
     """Nothing listens at the endpoint's address."""
 
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/connections.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/connections.py
@@ -262,7 +262,7 @@
                     Connection, host, int(port)
                 )
         except ConnectionRefusedError as error:
-            raise exceptions.EndpointGone(
+            raise exceptions.EndpointNotListening(
                 f"{address} cannot be reached: {error!r}"
             ) from error
         except (OSError, TimeoutError) as error:
--- a/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/liveness.py
@@ -54,7 +54,7 @@
         try:
             async with asyncio.timeout(TIMEOUT_SECONDS):
                 state = await self.endpoints.state(replica)
-        except (exceptions.EndpointMismatch, exceptions.EndpointGone):
+        except (exceptions.EndpointMismatch, exceptions.EndpointNotListening):
             self.directory.process_ended(instance)
             self.directory.suspect(instance, time.monotonic())
         except (exceptions.EndpointRefused, exceptions.RecordInvalid):
