--- a/packages/gypsumfold/src/gypsumfold/membership.py
+++ b/packages/gypsumfold/src/gypsumfold/membership.py
@@ -54,9 +54,9 @@
         self.peers.sync(addresses)
         states = endpoint_states(listed)
         for watched in self.fleet.endpoints.values():
-            self.note(watched, states)
+            self.update_endpoint(watched, states)
 
-    def note(
+    def update_endpoint(
         self, watched: fleet_module.WatchedEndpoint, states: dict[str, str]
     ) -> None:
         """Notes whether an endpoint's VM leaves, with an event if it does.
