--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -43,7 +43,7 @@
 
 # Seconds until a task that failed is started again, plus up to as much at
 # random.
-RESTART = 0.5
+RESTART_DELAY_SECONDS = 0.5
 # Seconds that the last bytes of an answer may take when the node ends.
 WRITE_LIMIT = 5.0
 
@@ -234,7 +234,7 @@
             except Exception as error:
                 # Whatever it was, one part must not take the node down.
                 events.log(events.TASK_FAILED, task=name, error=repr(error))
-            await asyncio.sleep(RESTART * (1 + random.random()))
+            await asyncio.sleep(RESTART_DELAY_SECONDS * (1 + random.random()))
 
     async def run(self) -> None:
         """Runs the node until `stop` is set."""
