--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -45,7 +45,7 @@
 # random.
 RESTART_DELAY_SECONDS = 0.5
 # Seconds that the last bytes of an answer may take when the node ends.
-WRITE_LIMIT = 5.0
+WRITE_TIMEOUT_SECONDS = 5.0
 
 
 class Node:
@@ -287,7 +287,7 @@
             app,
             handler_cancellation=True,
             access_log=None,
-            shutdown_timeout=WRITE_LIMIT,
+            shutdown_timeout=WRITE_TIMEOUT_SECONDS,
         )
         await runner.setup()
         self.runners.append(runner)
