--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -133,7 +133,7 @@
         """Makes an id that no other dispatch or record has."""
         return f"{self.incarnation}-{next(self.numbers)}"
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether callers' requests are taken."""
         return self.serving() and not self.stopping
 
@@ -161,7 +161,7 @@
             self.settings.node.name,
             self.incarnation,
             self.configuration.revision,
-            self.ready(),
+            self.is_ready(),
             self.stopping,
         )
 
@@ -304,7 +304,7 @@
         """Logs each turn of the node's readiness."""
         was = False
         while True:
-            is_ready = self.ready()
+            is_ready = self.is_ready()
             if is_ready != was:
                 was = is_ready
                 event = events.NODE_READY if was else events.NODE_NOT_READY
