--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -135,9 +135,9 @@
 
     def is_ready(self) -> bool:
         """Whether callers' requests are taken."""
-        return self.serving() and not self.stopping
+        return self.is_serving() and not self.stopping
 
-    def serving(self) -> bool:
+    def is_serving(self) -> bool:
         """Whether requests are served: also those that come in a shutdown.
 
         The balancer goes on sending for its notice time.
