--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -82,7 +82,7 @@
         self.fleet = fleet_module.Fleet(
             settings, self.configuration, self.sessions
         )
-        self.peers = links.Peers(settings, self.describe)
+        self.peers = links.Peers(settings, self.make_heartbeat)
         self.membership = membership.Membership(
             settings,
             vms.HTTPVMs(settings.platform, session),
@@ -144,7 +144,7 @@
         """
         return self.replication.is_fresh()
 
-    def describe(self):
+    def make_heartbeat(self):
         """Makes the heartbeat that tells peers of this node."""
         return framing.peers_thrift.Heartbeat(
             self.settings.node.name,
