--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -69,7 +69,7 @@
         self.tasks: dict[str, asyncio.Task] = {}
         self.runners: list[web.AppRunner] = []
         self.callers = callers_server.Server(self)
-        self.front: web.AppRunner | None = None
+        self.callers_runner: web.AppRunner | None = None
         self.metrics = metrics.Metrics(settings.metrics)
         self.sessions = connections.create_sessions(settings)
         session = self.sessions.pooled
@@ -245,7 +245,7 @@
     async def start(self) -> None:
         """Listens to peers, operators and callers and starts all tasks."""
         await self.peers.serve()
-        self.front = await self.listen(
+        self.callers_runner = await self.listen(
             self.callers.application(),
             self.settings.callers.port,
             self.settings.callers.tls,
@@ -313,11 +313,11 @@
 
     async def stop_listening(self) -> None:
         """Takes no more connections of callers."""
-        for site in list(self.front.sites):
+        for site in list(self.callers_runner.sites):
             await site.stop()
         # What has come in by now is taken as a request first.
         await asyncio.sleep(0)
-        self.front.server.pre_shutdown()
+        self.callers_runner.server.pre_shutdown()
 
     async def end_connections(self, limit: float) -> None:
         """Closes idle connections at once, others after their request.
@@ -325,7 +325,7 @@
         Args:
             limit: Seconds until a request is cut.
         """
-        await self.front.server.shutdown(limit)
+        await self.callers_runner.server.shutdown(limit)
 
     def in_progress(self) -> int:
         """Counts the requests of callers and of peers that run here."""
