--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -221,10 +221,10 @@
             function: Makes the coroutine; returns when its work is over.
         """
         self.tasks[name] = asyncio.create_task(
-            self.keep(name, function), name=name
+            self.keep_running(name, function), name=name
         )
 
-    async def keep(
+    async def keep_running(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
         """Runs one task again and again until it returns."""
