--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -110,11 +110,11 @@
             self.publisher,
             self.incarnation,
         )
-        self.operators = self.operators_interface()
+        self.operators = self.make_operators_server()
         self.tails[records.CONFIG].subscribe(self.configuration.apply)
         self.configuration.subscribe(self.reconfigure)
 
-    def operators_interface(self) -> operators_server.Server:
+    def make_operators_server(self) -> operators_server.Server:
         """Makes the operators' interface with all that it can show."""
         sources = queries.Sources(self.configuration)
         live.register(self, sources)
