--- a/bench/baseline_node.py
+++ b/bench/baseline_node.py
@@ -14,5 +14,5 @@
 
 
 if __name__ == "__main__":
-    node.Node.scheduler = round_robin
+    node.Node.make_scheduler = round_robin
     main.main()
--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -190,7 +190,7 @@
             if name in self.dispatchers:
                 continue
             dispatcher = dispatching.Dispatcher(
-                name, self.scheduler(name), self.fleet
+                name, self.make_scheduler(name), self.fleet
             )
             self.dispatchers[name] = dispatcher
             self.supervise(f"dispatcher-{name}", dispatcher.run)
@@ -206,7 +206,7 @@
             found[name] = types.Share(account.weight, account.tokens_per_second)
         return found
 
-    def scheduler(self, service: str) -> scheduler_module.Scheduler:
+    def make_scheduler(self, service: str) -> scheduler_module.Scheduler:
         """Makes the scheduler of a service."""
         policy = policy_scheduler.Policy(self.settings.node.data_centre)
         return policy_scheduler.PolicyScheduler(policy, random.Random())
