--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -13,7 +13,7 @@
 # Seconds between two appends of a node. A killed node loses this much of
 # its counts; six nodes make 0.4 appends a second of the several hundred
 # that the log takes, 390 make 26.
-FLUSH = 15.0
+FLUSH_INTERVAL_SECONDS = 15.0
 
 
 class Reporting:
@@ -60,7 +60,7 @@
     async def run(self) -> None:
         """Appends counts for as long as the node runs."""
         while True:
-            await asyncio.sleep(FLUSH)
+            await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
             await self.flush()
 
     async def flush(self) -> None:
