--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -34,7 +34,7 @@
         self.log = log
         self.counters = burn.Counters(incarnation)
 
-    def ended(
+    def count_answer(
         self, request: types.Request, whole: bool, seconds: float | None
     ) -> None:
         """Counts one final answer.
