--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -45,11 +45,11 @@
             seconds: Until the first token, or the answer of a plain call;
                 None where none came.
         """
-        limit = self.limit_of(request)
+        limit = self.find_time_limit(request)
         good = whole and seconds is not None and seconds <= limit
         self.counters.add(request.service, request.urgency, good, time.time())
 
-    def limit_of(self, request: types.Request) -> float:
+    def find_time_limit(self, request: types.Request) -> float:
         """Finds the objective's seconds, else those to the deadline."""
         for objective in self.configuration.all("objective").values():
             wanted = (objective.service, objective.urgency)
