--- a/packages/gypsumfold/src/gypsumfold/rules.py
+++ b/packages/gypsumfold/src/gypsumfold/rules.py
@@ -74,7 +74,7 @@
     for name, declared in found.items():
         value = getattr(declared.value, field)
         if field == "address":
-            value = normalized(value, name)
+            value = normalize_address(value, name)
         if value in owners:
             raise exceptions.ChangeRejected(
                 f'{kind} "{name}" has the {field} of "{owners[value]}"'
@@ -82,7 +82,7 @@
         owners[value] = name
 
 
-def normalized(address: str, name: str) -> str:
+def normalize_address(address: str, name: str) -> str:
     """Spells an address in the one way that can be compared.
 
     Raises:
