--- a/packages/gypsumfold/src/gypsumfold/rules.py
+++ b/packages/gypsumfold/src/gypsumfold/rules.py
@@ -17,7 +17,7 @@
 }
 # The field of each kind that no two objects may share: one engine behind two
 # names could get conflicting orders, one token must name one account.
-UNIQUE = {"endpoint": "address", "account": "token_sha256"}
+UNIQUE_FIELDS = {"endpoint": "address", "account": "token_sha256"}
 # What stands between the model's name and the rest in these kinds' names.
 SEPARATORS = {"version": "@", "adapter": ":"}
 
@@ -67,7 +67,7 @@
 
 def check_unique(kind: str, found: dict[str, Declared]) -> None:
     """Refuses two objects that share an address or a token."""
-    field = UNIQUE.get(kind)
+    field = UNIQUE_FIELDS.get(kind)
     if not field:
         return
     owners: dict[str, str] = {}
