--- a/packages/gypsumfold/src/gypsumfold/shutdown.py
+++ b/packages/gypsumfold/src/gypsumfold/shutdown.py
@@ -25,7 +25,7 @@
 # answer to a request that was given up.
 LAST_BYTES = 5.0
 # Seconds between two looks at the requests in progress.
-LOOK = 0.02
+CHECK_INTERVAL_SECONDS = 0.02
 
 
 class Shutdown:
@@ -96,4 +96,4 @@
         while node.in_progress():
             if time.monotonic() > limit:
                 return
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(CHECK_INTERVAL_SECONDS)
