--- a/packages/gypsumfold/src/gypsumfold/shutdown.py
+++ b/packages/gypsumfold/src/gypsumfold/shutdown.py
@@ -20,7 +20,7 @@
 
 # Seconds that one release may take. With the log down it cannot succeed; the
 # lease then lapses by itself.
-RELEASE_LIMIT = 5.0
+RELEASE_TIMEOUT_SECONDS = 5.0
 # Seconds beyond the limit for the last bytes of an answer, also of the final
 # answer to a request that was given up.
 LAST_BYTES = 5.0
@@ -68,7 +68,7 @@
     ) -> None:
         """Releases one thing; a failure to do so holds nothing up."""
         try:
-            async with asyncio.timeout(RELEASE_LIMIT):
+            async with asyncio.timeout(RELEASE_TIMEOUT_SECONDS):
                 await release()
         except Exception as error:
             # Whatever it was, the shutdown goes on; what is not released
