--- a/packages/gypsumfold/src/gypsumfold/shutdown.py
+++ b/packages/gypsumfold/src/gypsumfold/shutdown.py
@@ -23,7 +23,7 @@
 RELEASE_TIMEOUT_SECONDS = 5.0
 # Seconds beyond the limit for the last bytes of an answer, also of the final
 # answer to a request that was given up.
-LAST_BYTES = 5.0
+FINAL_WRITE_SECONDS = 5.0
 # Seconds between two looks at the requests in progress.
 CHECK_INTERVAL_SECONDS = 0.02
 
@@ -80,13 +80,13 @@
         limit = time.monotonic() + self.settings.limit
         events.log(events.NODE_DRAINING, requests=node.in_progress())
         closing = asyncio.create_task(
-            node.end_connections(self.settings.limit + LAST_BYTES)
+            node.end_connections(self.settings.limit + FINAL_WRITE_SECONDS)
         )
         await self.until_idle(node, limit)
         if node.in_progress():
             events.log(events.NODE_GAVE_UP, requests=node.in_progress())
             node.callers.give_up()
-            await self.until_idle(node, limit + LAST_BYTES)
+            await self.until_idle(node, limit + FINAL_WRITE_SECONDS)
         if node.in_progress():
             closing.cancel()
         await asyncio.wait([closing])
