--- a/packages/gypsumfold/src/gypsumfold/shutdown.py
+++ b/packages/gypsumfold/src/gypsumfold/shutdown.py
@@ -82,16 +82,16 @@
         closing = asyncio.create_task(
             node.end_connections(self.settings.limit + FINAL_WRITE_SECONDS)
         )
-        await self.until_idle(node, limit)
+        await self.wait_until_idle(node, limit)
         if node.in_progress():
             events.log(events.NODE_GAVE_UP, requests=node.in_progress())
             node.callers.give_up()
-            await self.until_idle(node, limit + FINAL_WRITE_SECONDS)
+            await self.wait_until_idle(node, limit + FINAL_WRITE_SECONDS)
         if node.in_progress():
             closing.cancel()
         await asyncio.wait([closing])
 
-    async def until_idle(self, node, limit: float) -> None:
+    async def wait_until_idle(self, node, limit: float) -> None:
         """Waits until no request is in progress, up to a monotonic time."""
         while node.in_progress():
             if time.monotonic() > limit:
