--- a/packages/gypsumfold/src/gypsumfold/settings.py
+++ b/packages/gypsumfold/src/gypsumfold/settings.py
@@ -243,11 +243,11 @@
         name = (unknown or missing or [None, ""])[1]
         key = ".".join(part for part in (key, name) if part)
         raise exceptions.SettingsError(
-            path, key, reason, line_of(text, key)
+            path, key, reason, find_line(text, key)
         ) from error
 
 
-def line_of(text: str, key: str) -> int:
+def find_line(text: str, key: str) -> int:
     """Finds the line of a dotted key, or of the table it is missing from.
 
     Args:
