--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -124,7 +124,7 @@
     @stateful.rule(node=node, whole=st.booleans())
     def pull(self, node, whole):
         source = self.nodes[1 - node]
-        entries = source.since(self.nodes[node].position + 1)
+        entries = source.entries_from(self.nodes[node].position + 1)
         if entries is None or whole:
             if source.position >= 0:
                 self.pulled.append(snapshots.encode(source.snapshot()))
--- a/packages/gypsumfold/src/gypsumfold/callers/server.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/server.py
@@ -111,7 +111,7 @@
         self.node.metrics.gauge(metrics.OPEN_REQUESTS, self.open_requests)
         if state.request is not None and not state.cancelled:
             is_complete = state.outcome == outcomes.Outcome.COMPLETE
-            self.node.reporting.ended(
+            self.node.reporting.count_answer(
                 state.request, is_complete, state.time_to_first
             )
         events.log(
@@ -127,7 +127,7 @@
         """Finds the account; refuses requests if this node is not ready."""
         if request.path in OPEN_PATHS:
             return await handler(request)
-        if not self.node.serving():
+        if not self.node.is_serving():
             error = exceptions.Unavailable(
                 "this node is not ready", outcomes.Outcome.NOT_RUN, 1.0
             )
@@ -147,7 +147,7 @@
 
     async def get_ready(self, request: web.Request) -> web.Response:
         """Reports to the load balancer whether this node accepts callers."""
-        ready = self.node.ready()
+        ready = self.node.is_ready()
         return web.json_response({"ready": ready}, status=200 if ready else 503)
 
     async def get_live(self, request: web.Request) -> web.Response:
--- a/packages/gypsumfold/src/gypsumfold/operators/live.py
+++ b/packages/gypsumfold/src/gypsumfold/operators/live.py
@@ -77,7 +77,7 @@
 def node_rows(node) -> list[tuple]:
     """Lists this node and the peers heard of lately."""
     now = time.monotonic()
-    me = node.describe()
+    me = node.make_heartbeat()
     rows = [
         (
             me.node,
--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -20,7 +20,7 @@
     """Counts final answers and makes the burn report.
 
     >>> reporting = Reporting(incarnation, configuration, log)
-    >>> reporting.ended(request, whole=True, seconds=0.4)
+    >>> reporting.count_answer(request, whole=True, seconds=0.4)
     >>> report = await reporting.report()
     """
 
--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -165,7 +165,7 @@
     """Puts parts together again and knows when a new snapshot is due.
 
     >>> assembler.add(part, entry.time)
-    >>> assembler.bridging(position=-1, lowest=40)
+    >>> assembler.find_covering(position=-1, lowest=40)
     b'...'
 
     Attributes:
