--- a/packages/gypsumfold/src/gypsumfold/burn.py
+++ b/packages/gypsumfold/src/gypsumfold/burn.py
@@ -1,9 +1,9 @@
-"""Service-level burn: counters per minute on the log, and their reading.
+"""Burn rates of service-level objectives, from counts on the log.
 
-Each node counts the final answers of one minute by service and urgency and
-appends the counts to the log, where they outlive every VM. A report adds up
-what the log has. Method: multi-window, multi-burn-rate alerts (The Site
-Reliability Workbook, chapter 5).
+Each node counts its final answers per minute, service and urgency and
+appends the counts to the log, where they survive the loss of any VM. A report
+sums the records of all nodes. Method: multi-window, multi-burn-rate alerts
+(The Site Reliability Workbook, chapter 5).
 """
 
 import collections
@@ -12,7 +12,7 @@
 from gypsumfold import objects
 from gypsumfold.logservice import records
 
-# Seconds of one row of counts.
+# Length of one counting interval.
 MINUTE_SECONDS = 60
 
 
@@ -21,9 +21,9 @@
 
     Attributes:
         service: The service.
-        urgency: Of the requests.
-        good: Whole and on time.
-        bad: Refused, failed, late or undetermined.
+        urgency: Urgency of the requests.
+        good: Number of answers that were complete and on time.
+        bad: Number that were refused, failed, late or undetermined.
     """
 
     service: str
@@ -40,7 +40,7 @@
     one, so an append whose answer was lost can be repeated.
 
     Attributes:
-        incarnation: Of the node.
+        incarnation: The node's incarnation.
         minute: Minutes since the epoch.
         rows: The counts so far.
     """
@@ -51,13 +51,14 @@
 
 
 class Window(NamedTuple):
-    """One alerting rule of two windows.
+    """An alerting rule over two windows.
 
     Attributes:
-        severity: What an operator should do: ``page`` or ``ticket``.
-        long: Minutes of the long window.
-        short: Minutes of the short one, which ends the alert soon.
-        rate: Burn rate that both must exceed.
+        severity: How to alert: ``page`` or ``ticket``.
+        long: Length of the long window in minutes.
+        short: Length of the short window in minutes. It makes the alert end
+            soon after the errors stop.
+        rate: Burn rate that both windows must exceed.
     """
 
     severity: str
@@ -66,8 +67,8 @@
     rate: float
 
 
-# The workbook's table 5-8: 2 % of a 30-day budget in an hour, 5 % in six
-# hours, 10 % in three days.
+# Table 5-8 of the workbook: 2 % of a 30-day error budget in an hour, 5 % in
+# six hours, 10 % in three days.
 WINDOWS = (
     Window("page", 60, 5, 14.4),
     Window("page", 360, 30, 6.0),
@@ -76,7 +77,7 @@
 
 
 class Counters:
-    """Counts the final answers of one node, minute by minute.
+    """Counts the final answers of one node per minute.
 
     >>> counters = Counters("entry-1-0190")
     >>> counters.add("dispatch", 0, True, now=120.0)
@@ -94,8 +95,8 @@
 
         Args:
             service: The service.
-            urgency: Of the request.
-            good: Whether it was whole and on time.
+            urgency: Urgency of the request.
+            good: Whether the answer was complete and on time.
             now: Seconds since the epoch.
         """
         minute = int(now // MINUTE_SECONDS)
@@ -104,19 +105,19 @@
         self.dirty.add(minute)
 
     def due(self, now: float) -> list[BurnMinute]:
-        """Gives the records that are to be appended now.
+        """Returns the records that must be appended.
 
         Args:
             now: Seconds since the epoch.
 
         Returns:
             One record for each minute with new counts. They stay due until
-            `appended`.
+            `mark_appended` is called with them.
         """
         return [self.record(minute) for minute in sorted(self.dirty)]
 
     def mark_appended(self, batch: list[BurnMinute], now: float) -> None:
-        """Notes that records are on the log and forgets past minutes."""
+        """Marks records as appended and drops minutes that have ended."""
         current = int(now // MINUTE_SECONDS)
         for record in batch:
             if record != self.record(record.minute):
@@ -126,7 +127,7 @@
                 del self.minutes[record.minute]
 
     def record(self, minute: int) -> BurnMinute:
-        """Makes the record of one minute."""
+        """Builds the record of one minute."""
         counts = self.minutes.get(minute, {})
         rows = []
         for service, urgency in sorted({key[:2] for key in counts}):
@@ -137,7 +138,7 @@
 
 
 class Ledger:
-    """Adds up the records of all nodes.
+    """Sums the records of all nodes.
 
     >>> ledger = Ledger()
     >>> ledger.apply(entry)
@@ -149,13 +150,13 @@
         self.latest: dict[tuple[str, int], BurnMinute] = {}
 
     def apply(self, entry: records.Entry) -> None:
-        """Takes one entry of the burn stream in."""
+        """Adds the records of one entry of the burn stream."""
         for record in entry.records:
             if isinstance(record, BurnMinute):
                 self.latest[record.incarnation, record.minute] = record
 
     def series(self, service: str, urgency: int) -> dict[int, tuple[int, int]]:
-        """Gives (good, bad) by minute of one service and urgency."""
+        """Returns (good, bad) by minute for one service and urgency."""
         found: dict[int, tuple[int, int]] = {}
         for record in self.latest.values():
             for row in record.rows:
@@ -167,12 +168,12 @@
 
 
 class Rate(NamedTuple):
-    """The burn rates of one rule, and whether it alerts.
+    """The burn rates of one rule and whether it alerts.
 
     Attributes:
         window: The rule.
-        long: Burn rate over the long window; 1.0 spends the error budget
-            in exactly the objective's period.
+        long: Burn rate over the long window; 1.0 uses up the error budget
+            exactly at the end of the objective's period.
         short: Burn rate over the short window.
         alert: Whether both exceed the rule's rate.
     """
@@ -187,15 +188,16 @@
     """One objective in a report.
 
     Attributes:
-        name: As declared.
+        name: Name of the declared objective.
         service: Its service.
         urgency: Its urgency.
-        target: Share of requests that must be good.
-        within: Seconds until the first token or the answer.
-        good: Good requests over the longest window.
-        bad: Others.
-        rates: One for each rule.
-        series: Minute, good and bad, in order.
+        target: Fraction of requests that must be good.
+        within: Time limit in seconds for the first token, or for the answer
+            of a plain call.
+        good: Good requests in the longest window.
+        bad: Bad requests in the longest window.
+        rates: One entry for each rule.
+        series: (minute, good, bad), sorted by minute.
     """
 
     name: str
@@ -213,9 +215,9 @@
     """The burn report.
 
     Attributes:
-        made: Seconds since the epoch.
+        made: Time of the report, in seconds since the epoch.
         since: First minute (since the epoch) with any count; 0 for none.
-        objectives: By name.
+        objectives: The objectives, sorted by name.
     """
 
     made: float
@@ -226,16 +228,16 @@
 def report(
     ledger: Ledger, declared: dict[str, objects.Objective], now: float
 ) -> Report:
-    """Makes the burn report.
+    """Builds the burn report.
 
     Args:
-        ledger: All that the log has.
+        ledger: The records that the log still keeps.
         declared: The objectives in force, by name.
         now: Seconds since the epoch.
 
     Returns:
-        The report. Windows that reach beyond what the log keeps count what
-        is there; ``since`` tells.
+        The report. A window longer than the log's retention covers only the
+        minutes that are kept; ``since`` is the first of them.
     """
     found = []
     first = []
@@ -252,7 +254,7 @@
     series: dict[int, tuple[int, int]],
     now: float,
 ) -> Objective:
-    """Makes the entry of one objective."""
+    """Computes the report entry of one objective."""
     rates = []
     for window in WINDOWS:
         long = burn_rate(series, objective.target, window.long, now)
@@ -277,7 +279,7 @@
 def total(
     series: dict[int, tuple[int, int]], minutes: int, now: float
 ) -> tuple[int, int]:
-    """Adds up the last minutes, the current one included."""
+    """Sums (good, bad) over the last minutes, including the current one."""
     current = int(now // MINUTE_SECONDS)
     good = bad = 0
     for minute, counts in series.items():
@@ -294,16 +296,16 @@
     minutes: int,
     now: float,
 ) -> float:
-    """Computes a burn rate: the share of bad requests over what is allowed.
+    """Computes a burn rate: the bad fraction divided by the allowed one.
 
     Args:
         series: (good, bad) by minute.
-        target: Share that must be good, below 1.
-        minutes: Of the window that ends now.
+        target: Fraction that must be good, below 1.
+        minutes: Length of the window that ends now.
         now: Seconds since the epoch.
 
     Returns:
-        The rate; 0 where there was no request.
+        The rate; 0 if there were no requests.
     """
     good, bad = total(series, minutes, now)
     if not good + bad:
--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -1,4 +1,4 @@
-"""Moves burn counters from this node to the log, and back for reports."""
+"""Appends this node's burn counts to the log and reads them for reports."""
 
 import asyncio
 import time
@@ -10,14 +10,14 @@
 from gypsumfold.logservice import logs
 from gypsumfold.logservice import records
 
-# Seconds between two appends of a node. A killed node loses this much of
-# its counts; six nodes make 0.4 appends a second of the several hundred
-# that the log takes, 390 make 26.
+# Interval between a node's appends. A killed node loses the counts of this
+# time. Six nodes append 0.4 times a second and 390 nodes 26 times; the log
+# takes several hundred a second.
 FLUSH_INTERVAL_SECONDS = 15.0
 
 
 class Reporting:
-    """Counts final answers and makes the burn report.
+    """Counts final answers and builds the burn report.
 
     >>> reporting = Reporting(incarnation, configuration, log)
     >>> reporting.count_answer(request, whole=True, seconds=0.4)
@@ -40,17 +40,17 @@
         """Counts one final answer.
 
         Args:
-            request: What was asked for.
-            whole: Whether the caller got its whole answer.
-            seconds: Until the first token, or the answer of a plain call;
-                None where none came.
+            request: The answered request.
+            whole: Whether the caller got its complete answer.
+            seconds: Time until the first token, or until the answer of a
+                plain call; None if there was none.
         """
         limit = self.find_time_limit(request)
         good = whole and seconds is not None and seconds <= limit
         self.counters.add(request.service, request.urgency, good, time.time())
 
     def find_time_limit(self, request: types.Request) -> float:
-        """Finds the objective's seconds, else those to the deadline."""
+        """Returns the objective's time limit, else that of the deadline."""
         for objective in self.configuration.all("objective").values():
             wanted = (objective.service, objective.urgency)
             if wanted == (request.service, request.urgency):
@@ -58,13 +58,13 @@
         return request.deadline - request.arrival
 
     async def run(self) -> None:
-        """Appends counts for as long as the node runs."""
+        """Appends counts while the node runs."""
         while True:
             await asyncio.sleep(FLUSH_INTERVAL_SECONDS)
             await self.flush()
 
     async def flush(self) -> None:
-        """Appends what is due; a failure leaves it due."""
+        """Appends pending records; they stay pending if it fails."""
         now = time.time()
         batch = self.counters.due(now)
         if not batch:
@@ -76,7 +76,7 @@
         self.counters.mark_appended(batch, now)
 
     async def report(self) -> burn.Report:
-        """Reads the burn stream and makes the report.
+        """Reads the burn stream and builds the report.
 
         Raises:
             exceptions.LogUnavailable: The log does not answer.
