--- a/packages/gypsumfold/src/gypsumfold/configuration.py
+++ b/packages/gypsumfold/src/gypsumfold/configuration.py
@@ -1,7 +1,8 @@
-"""The configuration in force: a pure function of the config stream's prefix.
+"""The configuration in force, derived from the config stream of the log.
 
-Entries may come from the log and from peers, in any order and more than
-once; they take effect in the log's order only.
+It is a pure function of the stream's entries up to an offset. Entries may
+arrive from the log and from peers, in any order and more than once; they are
+applied in the order of the log.
 """
 
 import collections
@@ -16,8 +17,8 @@
 Declared = changes.Declared
 
 # Entries kept for peers that are a little behind; others get a snapshot.
-# A peer that missed a minute at the design's 1,500 changes a day is one
-# entry behind.
+# At the design's 1,500 changes a day, a peer that missed a minute is about
+# one entry behind.
 MAX_RECENT_ENTRIES = 512
 
 
@@ -31,14 +32,15 @@
     'engine'
 
     Attributes:
-        objects: By kind and name.
+        objects: Declared objects by kind and name.
         revision: Offset of the last accepted change; -1 for none.
-        position: Offset of the last entry that took its place; -1 for none.
-        clock: The latest time of the log's that was seen.
-        outcomes: Of recent changes, by change id.
+        position: Offset of the last applied entry; -1 for none.
+        clock: The latest log time seen.
+        outcomes: Outcomes of recent changes, by change id.
         waiting: Entries beyond a gap, by offset.
-        recent: The last entries, in order, for peers.
-        restored: Called with each snapshot that was taken over.
+        recent: The last applied entries, in order, for peers.
+        assembler: Reassembles snapshots from their parts.
+        on_restore: Called with each snapshot that is applied.
     """
 
     def __init__(self):
@@ -57,7 +59,7 @@
         self.on_restore: Callable[[snapshots.Snapshot], None] | None = None
 
     def get(self, kind: str, name: str) -> objects.Object | None:
-        """Returns one object, or None where it is not declared."""
+        """Returns one object, or None if it is not declared."""
         declared = self.objects[kind].get(name)
         return declared.value if declared else None
 
@@ -66,31 +68,31 @@
         return {n: d.value for n, d in self.objects[kind].items()}
 
     def declared(self, kind: str, name: str) -> Declared | None:
-        """Returns one object with its revision."""
+        """Returns one object with its revision and author, or None."""
         return self.objects.get(kind, {}).get(name)
 
     def outcome(self, change_id: str) -> changes.Outcome | None:
-        """Returns what became of a change; None where it is not known.
+        """Returns the outcome of a change; None if it is not known.
 
         Outcomes are kept for `changes.MAX_ID_AGE_SECONDS` of the log's time.
         """
         return self.outcomes.get(change_id)
 
     def subscribe(self, callback: Callable[[], None]) -> None:
-        """Adds a callback for after each accepted change or snapshot."""
+        """Adds a callback that runs after each accepted change or snapshot."""
         self.subscribers.append(callback)
 
     def watch(self, callback: Callable[[changes.Outcome], None]) -> None:
-        """Adds a callback for the outcome of each change, also rejected."""
+        """Adds a callback for the outcome of each change, even if rejected."""
         self.watchers.append(callback)
 
     def apply(self, entry: records.Entry) -> None:
-        """Takes an entry of the config stream in.
+        """Applies an entry of the config stream.
 
         Args:
-            entry: Of any offset; what is known already has no effect, and
-                what lies beyond a gap waits until the gap is filled or a
-                snapshot bridges it.
+            entry: An entry of any offset. A known one has no effect; one
+                beyond a gap waits until the gap is filled or a snapshot
+                covers it.
         """
         for record in entry.records:
             if isinstance(record, snapshots.Part):
@@ -107,7 +109,7 @@
             self.notify()
 
     def advance(self) -> None:
-        """Applies what follows on the position without a gap."""
+        """Applies waiting entries that follow the position without a gap."""
         while self.position + 1 in self.waiting:
             entry = self.waiting.pop(self.position + 1)
             self.position = entry.offset
@@ -148,13 +150,13 @@
         self.record_outcome(changes.Outcome(change.change_id, offset, True))
 
     def record_outcome(self, outcome: changes.Outcome) -> None:
-        """Remembers an outcome and tells the watchers."""
+        """Stores an outcome and notifies the watchers."""
         self.outcomes[outcome.change_id] = outcome
         for watcher in self.watchers:
             watcher(outcome)
 
     def expire(self) -> None:
-        """Forgets outcomes whose change ids are now too old to be taken."""
+        """Drops outcomes whose change ids are too old to be accepted again."""
         while self.outcomes:
             oldest = next(iter(self.outcomes))
             if not changes.is_void(oldest, self.clock):
@@ -162,7 +164,7 @@
             del self.outcomes[oldest]
 
     def skip_gap(self) -> None:
-        """Crosses a gap by the newest snapshot that reaches over it."""
+        """Skips a gap with the newest snapshot, if it covers the gap."""
         body = self.assembler.find_covering(self.position, min(self.waiting))
         if body is None:
             return
@@ -172,10 +174,10 @@
             self.assembler.body = None
 
     def restore(self, snapshot: snapshots.Snapshot) -> None:
-        """Takes over a snapshot from a peer, if it is ahead.
+        """Applies a peer's snapshot if it is ahead.
 
         Args:
-            snapshot: What a peer has in force.
+            snapshot: The peer's configuration.
 
         Raises:
             exceptions.RecordInvalid: It does not fit this version; nothing
@@ -187,7 +189,7 @@
             self.notify()
 
     def apply_snapshot(self, snapshot: snapshots.Snapshot) -> None:
-        """Moves forward to a snapshot and past it; never backwards."""
+        """Applies a newer snapshot, then entries that follow it."""
         if snapshot.offset <= self.position:
             return
         self.objects = snapshot.objects()
@@ -203,7 +205,7 @@
         self.advance()
 
     def snapshot(self) -> snapshots.Snapshot:
-        """Captures all that `restore` needs elsewhere."""
+        """Captures the state that another node can `restore`."""
         return snapshots.Snapshot(
             self.position,
             self.revision,
@@ -213,7 +215,7 @@
         )
 
     def is_snapshot_due(self, now: float, retention: float) -> bool:
-        """Tells whether a snapshot should go onto the log now.
+        """Returns whether a snapshot should be appended to the log now.
 
         Args:
             now: Seconds since the epoch.
@@ -224,13 +226,13 @@
         return self.assembler.is_due(self.position, now, retention)
 
     def entries_from(self, start: int) -> list[records.Entry] | None:
-        """Returns the entries from an offset on, for a peer.
+        """Returns the entries from an offset onwards, for a peer.
 
         Args:
-            start: The first offset wanted.
+            start: The first offset to return.
 
         Returns:
-            The entries; None where they are no longer kept here.
+            The entries; None if they are no longer kept here.
         """
         if start > self.position:
             return []
@@ -239,6 +241,6 @@
         return [entry for entry in self.recent if entry.offset >= start]
 
     def notify(self) -> None:
-        """Calls the subscribers."""
+        """Calls all subscribers."""
         for callback in self.subscribers:
             callback()
--- a/packages/gypsumfold/src/gypsumfold/snapshots.py
+++ b/packages/gypsumfold/src/gypsumfold/snapshots.py
@@ -1,8 +1,8 @@
-"""Snapshots of the configuration: their coding, parts and due times.
+"""Snapshots of the configuration: encoding, parts and publication times.
 
-A snapshot names the offset up to which it holds every change. Changes that
-were appended between that offset and the snapshot's own place are not in it;
-whoever starts from it applies all entries above the named offset.
+A snapshot holds every change up to its `offset`. Changes appended between
+that offset and the snapshot's own position on the log are not in it, so a
+node that starts from it applies all entries after the offset.
 """
 
 import base64
@@ -18,22 +18,22 @@
 from gypsumfold import objects
 from gypsumfold.logservice import records
 
-# Characters of one part's body; leaves room in the log's 256 KiB for the
-# part's other fields.
+# Maximum length of one part's body. It leaves space for the part's other
+# fields within the log's limit of 256 KiB.
 PART_CHARACTERS = 200_000
 
-# A snapshot is republished when this share of the log's retention has gone
-# by, so that three more tries fit in before it is lost.
+# A snapshot is republished after this fraction of the log's retention, which
+# allows three more attempts before the old one expires.
 REPUBLISH_FRACTION = 0.25
-# Entries after which one is due whatever the time: a starting node then
-# reads at most a few pages of the log.
+# A new snapshot is due after this many entries at any time, so that a starting
+# node reads at most a few pages of the log.
 REPUBLISH_ENTRIES = 1000
 
-# Bytes that a snapshot may unpack to. The design's 3,800 accounts, 2,900
-# replicas and 22 models come to about 2 MB.
+# Maximum decompressed size of a snapshot. The design's 3,800 accounts, 2,900
+# replicas and 22 models take about 2 MB.
 MAX_UNPACKED_BYTES = 64 * 1024 * 1024
 
-# Unfinished snapshots remembered at once; their publishers have died.
+# Maximum number of incomplete snapshots kept, whose publishers have crashed.
 MAX_UNFINISHED = 8
 
 
@@ -48,14 +48,14 @@
 
 
 class Snapshot(NamedTuple):
-    """All that the configuration is at one offset.
+    """The complete configuration at one offset.
 
     Attributes:
-        offset: Every entry up to this one is in it.
+        offset: Offset of the last entry that it includes.
         revision: Offset of the last accepted change.
-        clock: The log's time at that offset.
-        rows: The objects, ordered by kind and name.
-        outcomes: Of the changes whose ids are still remembered.
+        clock: The log's time at `offset`.
+        rows: The objects, sorted by kind and name.
+        outcomes: Outcomes of the changes whose ids are still kept.
     """
 
     offset: int
@@ -65,7 +65,7 @@
     outcomes: tuple[changes.Outcome, ...]
 
     def objects(self) -> changes.Objects:
-        """Checks the rows into objects, by kind and name.
+        """Validates the rows and returns the objects by kind and name.
 
         Raises:
             exceptions.RecordInvalid: A row does not fit this version.
@@ -89,12 +89,13 @@
     """One part of a snapshot on the log.
 
     Attributes:
-        offset: Of the snapshot.
-        digest: SHA-256 of the whole, in hex. It keeps parts apart that two
-            nodes of different versions published for one offset.
-        part: From 0.
-        parts: How many there are.
-        body: This part of the coded snapshot.
+        offset: The snapshot's offset.
+        digest: SHA-256 of the encoded snapshot, in hex. It distinguishes
+            the parts of nodes with different versions that published a
+            snapshot of the same offset.
+        part: Index of this part, from 0.
+        parts: Number of parts.
+        body: This part of the encoded snapshot.
     """
 
     offset: int
@@ -105,14 +106,14 @@
 
 
 class Header(NamedTuple):
-    """Which snapshot a part belongs to."""
+    """Identifies the snapshot that a part belongs to."""
 
     offset: int
     digest: str
 
 
 def rows(found: changes.Objects) -> tuple[Row, ...]:
-    """Lists objects in the one order that all nodes agree on."""
+    """Lists objects by kind and name, the same order on every node."""
     listed = []
     for kind in sorted(found):
         for name in sorted(found[kind]):
@@ -125,15 +126,15 @@
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Codes a snapshot as packed JSON."""
+    """Encodes a snapshot as compressed JSON."""
     return zlib.compress(msgspec.json.encode(snapshot))
 
 
 def decode(body: bytes) -> Snapshot:
-    """Decodes what `encode` gave.
+    """Decodes the output of `encode`.
 
     Raises:
-        exceptions.RecordInvalid: It is no snapshot, or too large.
+        exceptions.RecordInvalid: It is not a snapshot, or too large.
     """
     try:
         unpacker = zlib.decompressobj()
@@ -148,7 +149,7 @@
 
 
 def split(snapshot: Snapshot) -> list[Part]:
-    """Cuts a snapshot into parts that each fit one append."""
+    """Splits a snapshot into parts that each fit in one append."""
     body = encode(snapshot)
     digest = hashlib.sha256(body).hexdigest()
     text = base64.b85encode(body).decode()
@@ -162,18 +163,19 @@
 
 
 class Assembler:
-    """Puts parts together again and knows when a new snapshot is due.
+    """Reassembles parts and decides when a new snapshot is due.
 
     >>> assembler.add(part, entry.time)
     >>> assembler.find_covering(position=-1, lowest=40)
     b'...'
 
     Attributes:
-        unfinished: Parts by snapshot.
-        newest: The newest whole snapshot that was seen.
-        taken: The log's time of its first part, or of the first entry read
-            where there is no snapshot.
-        body: The newest whole snapshot, until it is of no more use.
+        unfinished: Parts of incomplete snapshots.
+        times: Log time of the first part seen of each incomplete snapshot.
+        newest_offset: Offset of the newest complete snapshot; -1 for none.
+        taken_at: Log time of that snapshot's first part, or of the first
+            entry read if there is no snapshot.
+        body: The newest complete snapshot, until it is no longer needed.
     """
 
     def __init__(self):
@@ -184,7 +186,7 @@
         self.body: bytes | None = None
 
     def add(self, part: Part, time: float) -> None:
-        """Takes one part in; parts of an older snapshot have no use."""
+        """Adds one part; parts of an older snapshot are ignored."""
         if part.offset < self.newest_offset:
             return
         header = Header(part.offset, part.digest)
@@ -197,7 +199,7 @@
             self.drop(next(iter(self.unfinished)))
 
     def finish(self, header: Header, found: dict[int, Part]) -> None:
-        """Joins the parts of a whole snapshot, if they fit its digest."""
+        """Joins all parts of a snapshot if they match its digest."""
         text = "".join(found[number].body for number in sorted(found))
         taken = self.times[header]
         self.drop(header)
@@ -216,22 +218,22 @@
             self.drop(older)
 
     def drop(self, header: Header) -> None:
-        """Forgets the parts of one snapshot."""
+        """Drops the parts of one snapshot."""
         del self.unfinished[header]
         del self.times[header]
 
     def record_entry_time(self, time: float) -> None:
-        """Notes the time of an entry, where no snapshot was seen yet."""
+        """Records the first entry's time if no snapshot was seen yet."""
         if self.taken_at is None:
             self.taken_at = time
 
     def release_body(self, position: int) -> None:
-        """Frees a snapshot that is not ahead of the position."""
+        """Frees the snapshot's body if it is not ahead of the position."""
         if self.newest_offset <= position:
             self.body = None
 
     def find_covering(self, position: int, lowest: int) -> bytes | None:
-        """Returns the snapshot that reaches over a gap, if one is here.
+        """Returns the newest snapshot if it covers a gap, else None.
 
         Args:
             position: The last offset before the gap.
@@ -242,10 +244,10 @@
         return self.body
 
     def is_due(self, position: int, now: float, retention: float) -> bool:
-        """Tells whether a new snapshot should be published.
+        """Returns whether a new snapshot should be published.
 
         Args:
-            position: Of the configuration that would be captured.
+            position: Position of the configuration to capture.
             now: Seconds since the epoch.
             retention: Seconds that the log keeps a record.
         """
