--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -1,7 +1,7 @@
-"""What nodes tell each other about load: demand and hottest accounts.
+"""Load digests that nodes exchange: demand and most active accounts.
 
-Each round every node sends one bounded digest to a few random peers, so
-that its cost does not grow with the number of nodes.
+In each round every node sends one digest of bounded size to a few random
+peers, so that its cost does not grow with the number of nodes.
 """
 
 import asyncio
@@ -20,23 +20,24 @@
 thrift = framing.peers_thrift
 
 METHOD = "digest"
-# Bounds of one digest; 64 services and 32 accounts take below 6 KB.
+# Limits of one digest; 64 services and 32 accounts take less than 6 KB.
 MAX_SERVICES = 64
 MAX_ACCOUNTS = 32
-# Rounds after which a digest that was not renewed no longer counts; with
-# six nodes and three peers a round it is missed that often once in 100,000.
+# Rounds after which a digest that was not renewed is dropped. With six nodes
+# and three peers a round, a node is missed that often by chance about once in
+# 100,000 times.
 EXPIRY_ROUNDS = 12
 
 
 class ReceivedDigest(NamedTuple):
-    """A peer's digest and when it came (monotonic)."""
+    """A peer's digest and the monotonic time of its arrival."""
 
     message: object
     received_at: float
 
 
 class Digests:
-    """Sends this node's digest and gives the others' to the schedulers.
+    """Sends this node's digest and passes the others' to the schedulers.
 
     >>> digests = Digests(settings, incarnation, peers, dispatchers)
     >>> await digests.run()
@@ -69,7 +70,7 @@
             await asyncio.sleep(self.settings.heartbeat)
 
     async def send(self, address: str, message) -> None:
-        """Sends a digest to one peer; it may get lost."""
+        """Sends a digest to one peer; a lost digest is not sent again."""
         try:
             await self.peers.call(
                 address,
@@ -82,7 +83,7 @@
             return
 
     def message(self):
-        """Makes this node's digest."""
+        """Builds this node's digest."""
         now = time.monotonic()
         demand = []
         hottest = []
@@ -100,7 +101,7 @@
         )
 
     async def receive(self, message, address: str):
-        """Keeps a peer's digest unless a later one came before it."""
+        """Stores a peer's digest unless a later one has already arrived."""
         known = self.received.get(address)
         order = (message.incarnation, message.sequence)
         if known is None or order > (
@@ -111,7 +112,7 @@
         return thrift.Nothing()
 
     def update_schedulers(self) -> None:
-        """Gives each scheduler what the peers said of its service."""
+        """Passes each scheduler the peers' load for its service."""
         now = time.monotonic()
         horizon = now - EXPIRY_ROUNDS * self.settings.heartbeat
         for address in list(self.received):
@@ -124,7 +125,7 @@
             )
 
     def peer_demands(self, service: str) -> list[types.Demand]:
-        """The demand for a service at each peer that was heard of."""
+        """Returns each peer's last reported demand for a service."""
         found = []
         for heard in self.received.values():
             for one in heard.message.demand:
@@ -138,7 +139,7 @@
         return found
 
     def peer_usage(self, service: str) -> list[types.AccountUsage]:
-        """The hottest accounts of a service at the peers."""
+        """Returns the most active accounts of a service at the peers."""
         found = []
         for heard in self.received.values():
             for one in heard.message.hottest:
--- a/packages/gypsumfold/src/gypsumfold/dispatching.py
+++ b/packages/gypsumfold/src/gypsumfold/dispatching.py
@@ -1,4 +1,4 @@
-"""Carries out what a service's scheduler decides, on the event loop."""
+"""Carries out the decisions of a service's scheduler on the event loop."""
 
 import asyncio
 import random
@@ -11,22 +11,25 @@
 from gypsumfold.decisions import types
 from gypsumfold.endpoints import fleet as fleet_module
 
-# Seconds between two ticks of a scheduler: reports arrive every 250 ms, and
-# a refusal should not be later than a fifth of that.
+# Interval between scheduler ticks. Reports arrive every 250 ms, and a refusal
+# should be delayed by at most a fifth of that.
 TICK_SECONDS = 0.05
-# Seconds between two ticks while nothing waits; what arrives is decided at
+# Interval between ticks while no request waits; a new request is decided at
 # once. At 20 ticks a second two idle services cost 0.4 % of a core.
 IDLE_TICK_SECONDS = 0.25
 
 
 class Grant:
-    """Permission to send one request to one replica, once.
+    """Permission to send one request to one replica once.
 
     Attributes:
-        request: What was admitted.
+        request: The admitted request.
         replica: The endpoint's name.
-        prefill: The engine that processes the prompt first; mostly empty.
+        prefill: The engine that prefills the prompt first; usually empty.
         started: Monotonic time of the grant.
+        first_token: Seconds from the grant to the first token; None before.
+        tokens: Number of tokens received.
+        is_finished: Whether `finish` was called.
 
     >>> grant = await dispatcher.admit(request)
     >>> grant.finish(types.Finish.DONE)
@@ -49,13 +52,13 @@
         self.is_finished = False
 
     def count_token(self) -> None:
-        """Notes one token of the answer."""
+        """Counts one token of the answer."""
         if self.first_token is None:
             self.first_token = time.monotonic() - self.started
         self.tokens += 1
 
     def finish(self, finish: types.Finish) -> None:
-        """Gives the replica back; a second call does nothing."""
+        """Reports the end of the dispatch; a second call does nothing."""
         if self.is_finished:
             return
         self.is_finished = True
@@ -65,7 +68,7 @@
 
 
 class Dispatcher:
-    """Bridges the scheduler of one service to those who wait for it.
+    """Connects a service's scheduler with the tasks that wait for it.
 
     >>> dispatcher = Dispatcher("dispatch", scheduler, fleet)
     >>> grant = await dispatcher.admit(request)
@@ -87,11 +90,11 @@
     async def wait_for_retry(
         self, request: types.Request, attempts: int
     ) -> bool:
-        """Waits before a further attempt; whether one is to be made.
+        """Waits before a retry; returns False if there must be none.
 
         Args:
-            request: What failed.
-            attempts: Made so far.
+            request: The request that failed.
+            attempts: Number of attempts so far.
         """
         now = time.monotonic()
         delay = self.retries.delay(request, attempts, 0.0, now)
@@ -101,10 +104,10 @@
         return True
 
     async def admit(self, request: types.Request) -> Grant:
-        """Waits until the scheduler sends the request somewhere.
+        """Waits until the scheduler assigns the request to a replica.
 
         Raises:
-            exceptions.Refused: It is not to be served; nothing has run.
+            exceptions.Refused: The scheduler refused it; nothing has run.
         """
         future = asyncio.get_running_loop().create_future()
         self.waiting[request.id] = future
@@ -122,7 +125,7 @@
             self.waiting.pop(request.id, None)
 
     def withdraw(self, request: types.Request, future: asyncio.Future) -> None:
-        """Forgets a request whose caller has gone."""
+        """Drops a request whose caller has left."""
         if future.done() and not future.cancelled():
             if future.exception() is None:
                 future.result().finish(types.Finish.CANCELLED)
@@ -132,17 +135,17 @@
         self.carry_out(self.scheduler.withdraw(request.id, now))
 
     def finished(self, request_id: str, result: types.Result) -> None:
-        """Passes the end of a dispatch on."""
+        """Forwards the end of a dispatch to the scheduler."""
         now = time.monotonic()
         self.carry_out(self.scheduler.finished(request_id, result, now))
 
     def update(self, now: float) -> None:
-        """Tells the scheduler what is known of the replicas."""
+        """Passes the current state of the replicas to the scheduler."""
         replicas = self.fleet.replicas(self.service)
         self.carry_out(self.scheduler.update(replicas, now))
 
     async def run(self) -> None:
-        """Ticks for as long as the service is declared."""
+        """Runs the scheduler's ticks while the service is declared."""
         while True:
             now = time.monotonic()
             self.update(now)
@@ -152,7 +155,7 @@
             )
 
     def carry_out(self, actions: list[types.Action]) -> None:
-        """Carries actions out."""
+        """Carries out the scheduler's actions."""
         for action in actions:
             future = self.waiting.get(action.request.id)
             if isinstance(action, types.Refuse):
@@ -168,7 +171,7 @@
 
 
 def refusal(action: types.Refuse) -> exceptions.Refused:
-    """Makes the caller's answer out of a refusal."""
+    """Converts a refusal to the caller's error."""
     return exceptions.Refused(
         action.reason, outcomes.Outcome.NOT_RUN, action.retry_after
     )
--- a/packages/gypsumfold/src/gypsumfold/membership.py
+++ b/packages/gypsumfold/src/gypsumfold/membership.py
@@ -1,4 +1,4 @@
-"""Who takes part: follows the VM list for nodes and endpoints."""
+"""Cluster membership: updates peers and endpoints from the VM list."""
 
 import asyncio
 
@@ -11,10 +11,10 @@
 
 
 class Membership:
-    """Keeps peers and endpoints in step with the lagging VM list.
+    """Updates peers and endpoints from the VM list, which may lag.
 
-    A node that the list does not name (yet) keeps its link for as long as
-    it was heard of lately; the list being down changes nothing.
+    A node that the list does not contain (yet) keeps its link while it was
+    seen recently. If the list is unavailable, nothing changes.
 
     >>> membership = Membership(settings, source, peers, fleet)
     >>> await membership.run()
@@ -34,7 +34,7 @@
         self.latest: vms.VMList | None = None
 
     async def run(self) -> None:
-        """Follows the list for as long as the node runs."""
+        """Polls the list while the node runs."""
         self.peers.sync(set(self.settings.peers.seeds))
         while True:
             try:
@@ -46,7 +46,7 @@
             await asyncio.sleep(self.settings.platform.poll)
 
     def apply(self, listed: vms.VMList) -> None:
-        """Takes one reading of the list in."""
+        """Applies one reading of the list."""
         addresses = {peer.address for peer in self.peers.recently_seen()}
         for vm in listed.vms:
             if vm.purpose == "entry":
@@ -59,11 +59,10 @@
     def update_endpoint(
         self, watched: fleet_module.WatchedEndpoint, states: dict[str, str]
     ) -> None:
-        """Notes whether an endpoint's VM leaves, with an event if it does.
+        """Updates whether an endpoint's VM is leaving, and logs it if so.
 
-        One that is not listed has gone, or is so new that the list does not
-        name it yet; neither gets work. A list that names no endpoint at all
-        is not believed.
+        A VM that is not listed was removed or is too new for the list;
+        neither gets work. A list without any endpoint is ignored.
         """
         vm = watched.declared.vm
         leaving = bool(vm and states) and states.get(vm) != "live"
@@ -73,7 +72,7 @@
 
 
 def endpoint_states(listed: vms.VMList) -> dict[str, str]:
-    """Gives the state of each endpoint's VM by its name."""
+    """Returns the state of each endpoint's VM by the VM's name."""
     states = {}
     for vm in listed.vms:
         if vm.purpose == "endpoint":
