--- a/packages/gypsumfold/src/gypsumfold/exceptions.py
+++ b/packages/gypsumfold/src/gypsumfold/exceptions.py
@@ -1,10 +1,10 @@
-"""Every failure of gypsumfold has a type here, below one base class."""
+"""The exceptions of gypsumfold, all derived from one base class."""
 
 from gypsumfold import outcomes
 
 
 class GypsumfoldError(Exception):
-    """The base of all failures that gypsumfold raises itself."""
+    """The base class of all errors that gypsumfold raises."""
 
 
 class SettingsError(GypsumfoldError):
@@ -12,9 +12,9 @@
 
     Args:
         path: The file.
-        key: The offending key, dotted; empty for the file as a whole.
+        key: The invalid key, dotted; empty for the file as a whole.
         reason: What is wrong with it.
-        line: The line in the file, from 1; 0 where it is not known.
+        line: The line in the file, from 1; 0 if it is not known.
     """
 
     def __init__(self, path: str, key: str, reason: str, line: int = 0):
@@ -26,19 +26,19 @@
 
 
 class PlatformError(GypsumfoldError):
-    """Something of the platform's did not answer as it should."""
+    """A system of the platform failed or gave an invalid answer."""
 
 
 class LogUnavailable(PlatformError):
-    """The log refused or could not be reached; nothing was appended."""
+    """The log refused a call or was unreachable; nothing was appended."""
 
 
 class ReadOverdue(PlatformError):
-    """A read waits on for what another node has read already."""
+    """A read still waits for records that another node has already read."""
 
 
 class ConnectionLost(LogUnavailable):
-    """A kept connection was lost or silent; new ones may well work."""
+    """A reused connection was lost or silent; a new one may work."""
 
 
 class AppendUndetermined(PlatformError):
@@ -70,10 +70,10 @@
 
 
 class PeerRefused(PeerError):
-    """The peer answered a call with a failure.
+    """The peer answered a call with an error.
 
     Args:
-        name: The name of the failure's type on the peer.
+        name: The name of the exception type on the peer.
     """
 
     def __init__(self, name: str):
@@ -86,7 +86,7 @@
 
 
 class EndpointNotStarted(EndpointError):
-    """The endpoint cannot have run anything of this dispatch."""
+    """The endpoint cannot have run any part of this dispatch."""
 
 
 class EndpointUnreachable(EndpointNotStarted):
@@ -98,7 +98,7 @@
 
 
 class EndpointUndetermined(EndpointError):
-    """The endpoint may have run the dispatch; nobody here can tell."""
+    """The endpoint may or may not have run the dispatch."""
 
 
 class EndpointFailed(EndpointError):
@@ -106,27 +106,27 @@
 
 
 class StreamBroken(EndpointError):
-    """A stream ended, went silent or carried events of another dispatch."""
+    """A stream ended early, stalled or carried another dispatch's events."""
 
 
 class StreamSilent(StreamBroken):
-    """A stream gave nothing for the idle limit; its engine may be well."""
+    """A stream was idle for the time limit; its engine may be healthy."""
 
 
 class EndpointRefused(EndpointNotStarted):
-    """An endpoint would not take a dispatch; nothing of it has run."""
+    """An endpoint refused a dispatch; nothing of it has run."""
 
 
 class EndpointMismatch(EndpointRefused):
-    """The endpoint is another one by now, or has another role."""
+    """Another endpoint has the address now, or the role has changed."""
 
 
 class AnswerBroken(EndpointError):
-    """An answer ended early or is no answer; the dispatch may have run."""
+    """An answer is incomplete or malformed; the dispatch may have run."""
 
 
 class AnswerAbandoned(AnswerBroken):
-    """No endpoint may go on with an answer that has begun."""
+    """No endpoint can continue an answer that has started."""
 
 
 class OrderRefused(EndpointError):
@@ -134,7 +134,7 @@
 
 
 class ControlError(GypsumfoldError):
-    """A failure of leases and orders."""
+    """An error of leases or orders."""
 
 
 class LeaseLost(ControlError):
@@ -146,9 +146,9 @@
 
     Args:
         reason: What is wrong.
-        line: Line in the text, from 1; 0 where it has no place.
-        column: Column in the line, from 1; 0 where it has no place.
-        expected: What could have stood there.
+        line: Line in the text, from 1; 0 if the error has no position.
+        column: Column in the line, from 1; 0 if the error has no position.
+        expected: What would be valid at that position.
     """
 
     def __init__(
@@ -166,11 +166,12 @@
 
 
 class ChangeRejected(GypsumfoldError):
-    """A change of configuration lost against another or is not valid.
+    """A configuration change conflicts with another or is not valid.
 
     Args:
-        reason: Why, with the objects concerned.
-        difference: Line by line, what is in force against what was asked.
+        reason: The cause, with the objects concerned.
+        difference: Lines that compare the configuration in force with the
+            requested one.
     """
 
     def __init__(self, reason: str, difference: tuple[str, ...] = ()):
@@ -184,10 +185,10 @@
 
 
 class CommandFailed(GypsumfoldError):
-    """An order or a seizure was not carried out.
+    """An order or the seizure of a lease was not carried out.
 
     Args:
-        reason: Why, for the operator.
+        reason: The cause, for the operator.
     """
 
     def __init__(self, reason: str):
@@ -196,12 +197,12 @@
 
 
 class RequestError(GypsumfoldError):
-    """A request ends without its answer; rendered as RFC 9457.
+    """A request ends without its answer; sent as an RFC 9457 problem.
 
     Args:
         detail: One sentence for the caller.
         outcome: What is known about the request.
-        retry_after: Seconds until a repeat makes sense; None where a repeat
+        retry_after: Seconds until a retry makes sense; None if a retry
             does not help.
     """
 
@@ -221,21 +222,21 @@
 
 
 class RequestInvalid(RequestError):
-    """The request itself is wrong; a repeat fails in the same way."""
+    """The request itself is invalid; a retry fails in the same way."""
 
     status = 400
     slug = "invalid-request"
 
 
 class BodyTooLarge(RequestInvalid):
-    """The request's body has more bytes than are taken."""
+    """The request's body exceeds the size limit."""
 
     status = 413
     slug = "body-too-large"
 
 
 class BodyTooSlow(RequestInvalid):
-    """The request's body did not come in time."""
+    """The request's body did not arrive in time."""
 
     status = 408
     slug = "body-too-slow"
@@ -249,7 +250,7 @@
 
 
 class NotFound(RequestError):
-    """No model, service or path of this name."""
+    """No model, service or path has this name."""
 
     status = 404
     slug = "not-found"
@@ -263,35 +264,35 @@
 
 
 class KeyClosed(RequestError):
-    """A call under this key was refused unrun; none can run any more."""
+    """A call with this key was refused before it ran; none can run now."""
 
     status = 409
     slug = "key-closed"
 
 
 class KeyExpired(RequestError):
-    """The idempotency key is older than what the log keeps."""
+    """The idempotency key is older than the log's retention."""
 
     status = 422
     slug = "key-expired"
 
 
 class Refused(RequestError):
-    """The request is not served now: overload or a missed deadline."""
+    """The request is refused: overload, or its deadline cannot be met."""
 
     status = 429
     slug = "refused"
 
 
 class Unavailable(RequestError):
-    """Nothing can serve the request at the moment."""
+    """No replica can serve the request at the moment."""
 
     status = 503
     slug = "unavailable"
 
 
 class RequestQuarantined(Unavailable):
-    """The request crashed the replicas that ran it before."""
+    """The request has crashed the replicas that ran it."""
 
     slug = "request-quarantined"
 
--- a/packages/gypsumfold/src/gypsumfold/outcomes.py
+++ b/packages/gypsumfold/src/gypsumfold/outcomes.py
@@ -1,4 +1,4 @@
-"""The four things that a final answer may say about a request."""
+"""The four outcomes that a final answer can report for a request."""
 
 import enum
 
@@ -6,8 +6,8 @@
 class Outcome(enum.StrEnum):
     """What is known about the request when its final answer is sent.
 
-    ``NOT_RUN`` is a promise about the request and not about one attempt: it
-    is said only if no attempt by anyone has run or ever can. Anything less
+    ``NOT_RUN`` is a guarantee about the request, not about one attempt: it
+    is sent only if no attempt of any node has run or ever can. Anything less
     certain is ``UNDETERMINED``.
     """
 
