--- a/packages/gypsumfold/src/gypsumfold/main.py
+++ b/packages/gypsumfold/src/gypsumfold/main.py
@@ -1,4 +1,4 @@
-"""The `gypsumfold` binary: runs a node, checks settings."""
+"""The `gypsumfold` command: runs a node or checks its settings."""
 
 import asyncio
 import pathlib
@@ -14,7 +14,7 @@
 from gypsumfold import settings as settings_module
 from gypsumfold.gateway import main as gateway_main
 
-# Exit code of a settings file that cannot be used (sysexits EX_CONFIG).
+# Exit code for an invalid settings file (sysexits EX_CONFIG).
 EXIT_SETTINGS = 78
 
 
@@ -45,7 +45,7 @@
 
 
 async def serve(settings: settings_module.Settings) -> None:
-    """Runs a node; the first signal begins its graceful shutdown."""
+    """Runs a node; the first signal starts its graceful shutdown."""
     node = node_module.Node(settings)
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -54,7 +54,7 @@
 
 
 def load(file: pathlib.Path) -> settings_module.Settings:
-    """Loads settings or ends the process with the reason."""
+    """Loads the settings, or prints the error and exits."""
     try:
         return settings_module.load(file)
     except exceptions.SettingsError as error:
--- a/packages/gypsumfold/src/gypsumfold/node.py
+++ b/packages/gypsumfold/src/gypsumfold/node.py
@@ -1,4 +1,4 @@
-"""One node: composes all parts and runs them until it is told to stop."""
+"""One node: creates all its components and runs them until shutdown."""
 
 import asyncio
 from collections.abc import Awaitable
@@ -41,10 +41,9 @@
 from gypsumfold.peers import links
 from gypsumfold.peers import replication
 
-# Seconds until a task that failed is started again, plus up to as much at
-# random.
+# Delay before a failed task restarts, plus up to the same again at random.
 RESTART_DELAY_SECONDS = 0.5
-# Seconds that the last bytes of an answer may take when the node ends.
+# Time for writing the last bytes of an answer when the node stops.
 WRITE_TIMEOUT_SECONDS = 5.0
 
 
@@ -52,8 +51,8 @@
     """The process on one entry VM.
 
     Attributes:
-        incarnation: Names this run of the process; sorts by start.
-        stop: Set when a graceful shutdown is to begin.
+        incarnation: Id of this run of the process; sorts by start time.
+        stop: Set to start a graceful shutdown.
 
     >>> node = Node(settings)
     >>> await node.run()
@@ -115,7 +114,7 @@
         self.configuration.subscribe(self.reconfigure)
 
     def make_operators_server(self) -> operators_server.Server:
-        """Makes the operators' interface with all that it can show."""
+        """Builds the operators' server with all its data sources."""
         sources = queries.Sources(self.configuration)
         live.register(self, sources)
         commands.register(self.control, sources)
@@ -130,22 +129,22 @@
         )
 
     def new_id(self) -> str:
-        """Makes an id that no other dispatch or record has."""
+        """Returns an id that no other dispatch or record has."""
         return f"{self.incarnation}-{next(self.numbers)}"
 
     def is_ready(self) -> bool:
-        """Whether callers' requests are taken."""
+        """Returns whether new requests of callers should be sent here."""
         return self.is_serving() and not self.stopping
 
     def is_serving(self) -> bool:
-        """Whether requests are served: also those that come in a shutdown.
+        """Returns whether requests are served, even during a shutdown.
 
-        The balancer goes on sending for its notice time.
+        The load balancer keeps sending requests for its notice time.
         """
         return self.replication.is_fresh()
 
     def make_heartbeat(self):
-        """Makes the heartbeat that tells peers of this node."""
+        """Builds the heartbeat that describes this node to its peers."""
         return framing.peers_thrift.Heartbeat(
             self.settings.node.name,
             self.incarnation,
@@ -156,7 +155,7 @@
         )
 
     def state(self) -> operators_server.State:
-        """Makes what operators see of this node."""
+        """Returns the state of this node that operators see."""
         return operators_server.State(
             self.settings.node.name,
             self.incarnation,
@@ -166,10 +165,10 @@
         )
 
     def dispatcher(self, service: str) -> dispatching.Dispatcher:
-        """Finds the dispatcher of a service.
+        """Returns the dispatcher of a service.
 
         Raises:
-            exceptions.NotFound: It is not declared.
+            exceptions.NotFound: The service is not declared.
         """
         if service not in self.dispatchers:
             raise exceptions.NotFound(
@@ -179,7 +178,7 @@
         return self.dispatchers[service]
 
     def reconfigure(self) -> None:
-        """Follows a change of configuration."""
+        """Applies a configuration change to dispatchers and components."""
         declared = self.configuration.all("service")
         for name in list(self.dispatchers):
             if name in declared:
@@ -200,25 +199,25 @@
         self.control.reconfigure()
 
     def shares(self) -> dict[str, types.Share]:
-        """What accounts are entitled to."""
+        """Returns the share of each account."""
         found = {}
         for name, account in self.configuration.all("account").items():
             found[name] = types.Share(account.weight, account.tokens_per_second)
         return found
 
     def make_scheduler(self, service: str) -> scheduler_module.Scheduler:
-        """Makes the scheduler of a service."""
+        """Creates the scheduler of a service."""
         policy = policy_scheduler.Policy(self.settings.node.data_centre)
         return policy_scheduler.PolicyScheduler(policy, random.Random())
 
     def supervise(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
-        """Runs a task until the node stops; starts it again if it fails.
+        """Runs a task until the node stops; restarts it if it fails.
 
         Args:
             name: Unique among the tasks.
-            function: Makes the coroutine; returns when its work is over.
+            function: Creates the coroutine, which returns when it is done.
         """
         self.tasks[name] = asyncio.create_task(
             self.keep_running(name, function), name=name
@@ -227,12 +226,12 @@
     async def keep_running(
         self, name: str, function: Callable[[], Awaitable[None]]
     ) -> None:
-        """Runs one task again and again until it returns."""
+        """Runs one task, and restarts it after errors until it returns."""
         while True:
             try:
                 return await function()
             except Exception as error:
-                # Whatever it was, one part must not take the node down.
+                # No error of one task may stop the node.
                 events.log(events.TASK_FAILED, task=name, error=repr(error))
             await asyncio.sleep(RESTART_DELAY_SECONDS * (1 + random.random()))
 
@@ -243,7 +242,7 @@
         await self.shutdown.run(self)
 
     async def start(self) -> None:
-        """Listens to peers, operators and callers and starts all tasks."""
+        """Listens for peers, operators and callers and starts all tasks."""
         await self.peers.serve()
         self.callers_runner = await self.listen(
             self.callers.application(),
@@ -255,13 +254,13 @@
             self.settings.operators.port,
             self.settings.operators.tls,
         )
-        # Before the first line of a task: lines of two starts are told apart
-        # by this one.
+        # Logged before any task logs: this line separates the log lines of
+        # two runs.
         events.log(events.NODE_STARTED, incarnation=self.incarnation)
         self.start_tasks()
 
     def start_tasks(self) -> None:
-        """Starts all that reads, tells and decides."""
+        """Starts all background tasks."""
         runs = {stream: tail.run for stream, tail in self.tails.items()}
         runs[records.CONFIG] = self.replication.run_tail
         for stream, run in runs.items():
@@ -301,7 +300,7 @@
         return runner
 
     async def watch_readiness(self) -> None:
-        """Logs each turn of the node's readiness."""
+        """Logs each change of the node's readiness."""
         was = False
         while True:
             is_ready = self.is_ready()
@@ -312,10 +311,10 @@
             await asyncio.sleep(dispatching.IDLE_TICK_SECONDS)
 
     async def stop_listening(self) -> None:
-        """Takes no more connections of callers."""
+        """Stops accepting connections of callers."""
         for site in list(self.callers_runner.sites):
             await site.stop()
-        # What has come in by now is taken as a request first.
+        # Lets data that has already arrived become requests first.
         await asyncio.sleep(0)
         self.callers_runner.server.pre_shutdown()
 
@@ -323,16 +322,16 @@
         """Closes idle connections at once, others after their request.
 
         Args:
-            limit: Seconds until a request is cut.
+            limit: Seconds until a running request is aborted.
         """
         await self.callers_runner.server.shutdown(limit)
 
     def in_progress(self) -> int:
-        """Counts the requests of callers and of peers that run here."""
+        """Returns the number of requests of callers and peers in progress."""
         return self.callers.open_requests + self.peers.serving
 
     async def close(self) -> None:
-        """Ends all tasks and connections, callers' requests first."""
+        """Closes all connections and tasks, callers' requests first."""
         for runner in self.runners:
             await runner.cleanup()
         await self.calls.close()
--- a/packages/gypsumfold/src/gypsumfold/shutdown.py
+++ b/packages/gypsumfold/src/gypsumfold/shutdown.py
@@ -1,13 +1,13 @@
-"""The graceful shutdown of a node: the order of its steps, and their limits.
+"""The graceful shutdown of a node: its steps and their time limits.
 
-1. Readiness fails and peers are told by the next heartbeat; what others hold
-   on to (leases) is released. Requests that the balancer still sends are
+1. The readiness check fails, the next heartbeat informs the peers, and
+   leases are released. Requests that the load balancer still sends are
    served, and each answer closes its connection.
-2. After the balancer's notice time the node listens no more; idle
-   connections are closed.
-3. Requests in progress, of callers and of peers, end whole. Callers whose
-   requests outlast the limit get a final answer that says so.
-4. The rest of the node is taken down.
+2. After the balancer's notice time the node stops listening and closes idle
+   connections.
+3. Requests of callers and peers that are in progress run to completion.
+   Callers whose requests exceed the limit get a final answer that says so.
+4. The rest of the node is closed.
 """
 
 import asyncio
@@ -18,18 +18,18 @@
 from gypsumfold import events
 from gypsumfold import settings as settings_module
 
-# Seconds that one release may take. With the log down it cannot succeed; the
-# lease then lapses by itself.
+# Time limit of one release. It cannot succeed while the log is down; the
+# lease then expires by itself.
 RELEASE_TIMEOUT_SECONDS = 5.0
-# Seconds beyond the limit for the last bytes of an answer, also of the final
-# answer to a request that was given up.
+# Time beyond the limit for the last bytes of an answer, including the final
+# answer to an abandoned request.
 FINAL_WRITE_SECONDS = 5.0
-# Seconds between two looks at the requests in progress.
+# Interval between checks of the requests in progress.
 CHECK_INTERVAL_SECONDS = 0.02
 
 
 class Shutdown:
-    """Stops a node without cutting a request.
+    """Stops a node without aborting requests within the time limit.
 
     >>> node.shutdown.register("leases", leases.release)
     >>> await node.shutdown.run(node)
@@ -42,16 +42,16 @@
     def register(
         self, name: str, release: Callable[[], Awaitable[None]]
     ) -> None:
-        """Adds something to release as soon as the shutdown begins.
+        """Registers a function to call when the shutdown starts.
 
         Args:
-            name: For the log.
-            release: Awaited once, for `RELEASE_LIMIT` at most.
+            name: Name in log lines.
+            release: Awaited once, for `RELEASE_TIMEOUT_SECONDS` at most.
         """
         self.releases[name] = release
 
     async def run(self, node) -> None:
-        """Stops the node; returns when nothing of it runs any more."""
+        """Stops the node; returns when all its tasks have ended."""
         node.stopping = True
         events.log(events.NODE_STOPPING)
         async with asyncio.TaskGroup() as group:
@@ -66,17 +66,16 @@
     async def release(
         self, name: str, release: Callable[[], Awaitable[None]]
     ) -> None:
-        """Releases one thing; a failure to do so holds nothing up."""
+        """Runs one release; an error does not delay the shutdown."""
         try:
             async with asyncio.timeout(RELEASE_TIMEOUT_SECONDS):
                 await release()
         except Exception as error:
-            # Whatever it was, the shutdown goes on; what is not released
-            # lapses.
+            # No error may stop the shutdown; an unreleased lease expires.
             events.log(events.TASK_FAILED, task=name, error=repr(error))
 
     async def drain(self, node) -> None:
-        """Waits for the requests in progress, up to the limit."""
+        """Waits for requests in progress up to the limit, then aborts them."""
         limit = time.monotonic() + self.settings.limit
         events.log(events.NODE_DRAINING, requests=node.in_progress())
         closing = asyncio.create_task(
@@ -92,7 +91,7 @@
         await asyncio.wait([closing])
 
     async def wait_until_idle(self, node, limit: float) -> None:
-        """Waits until no request is in progress, up to a monotonic time."""
+        """Waits until no request is in progress, or until a monotonic time."""
         while node.in_progress():
             if time.monotonic() > limit:
                 return
