--- a/packages/gypsumfold/src/gypsumfold/objects.py
+++ b/packages/gypsumfold/src/gypsumfold/objects.py
@@ -1,7 +1,7 @@
-"""The kinds of object that operators declare, with the type of each field.
+"""The kinds of objects that operators declare.
 
-A declaration is kept as plain fields on the log and checked into one of
-these types; unknown fields are errors.
+The log holds a declaration as plain fields, which are checked and converted
+to one of these types; unknown fields are errors.
 """
 
 from typing import Annotated
@@ -18,17 +18,17 @@
 
 
 class Object(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """The base of all declared objects."""
+    """The base class of all declared objects."""
 
 
 class Service(Object):
-    """A set of endpoints that offer the same.
+    """A set of interchangeable endpoints.
 
     Attributes:
         protocol: ``engine`` for model engines, ``plain`` for others.
         change_weight: Seconds of one engine's work that a role change must
-            gain beyond its own cost; low where goodput counts, high where
-            few changes count.
+            gain beyond its own cost. Lower values favour goodput, higher
+            ones fewer changes.
         planner: Whether the role planner may change roles.
     """
 
@@ -38,7 +38,7 @@
 
 
 class Model(Object):
-    """A model that a service offers, by the name that callers use."""
+    """A model of a service, named as callers request it."""
 
     service: str
 
@@ -62,12 +62,12 @@
     Attributes:
         service: The service that it belongs to.
         address: IP number and port.
-        data_centre: Where it stands.
-        vm: Its VM's name in the platform's list; empty where it has none.
-        checks_tokens: Whether it refuses orders with an old fencing token.
-            No is assumed where nothing is declared.
-        role: The role wished for; the planner may change it where the
-            service says so.
+        data_centre: The data centre it runs in.
+        vm: Its VM's name in the platform's list; empty if it has none.
+        checks_tokens: Whether it refuses orders with an old fencing token;
+            assumed not to if not declared.
+        role: The desired role; the planner may change it if the service
+            allows that.
         drained: Whether it gets no new work.
     """
 
@@ -81,15 +81,15 @@
 
 
 class Kind(Object):
-    """A kind of request, and how urgent it is.
+    """A kind of request and its urgency.
 
     Attributes:
         service: The service it is for. For plain services the object's name
             is the call's name.
-        urgency: 0 is the most urgent.
-        deadline: Seconds after which its answer is worth nothing.
+        urgency: The urgency level; 0 is the most urgent.
+        deadline: Seconds after which an answer is useless.
         repeatable: Whether it may run more than once.
-        default: Whether requests that name no kind are of this one.
+        default: Whether requests without a kind are of this one.
     """
 
     service: str
@@ -100,13 +100,13 @@
 
 
 class Account(Object):
-    """A caller's account.
+    """A client account.
 
     Attributes:
         token_sha256: SHA-256 of its bearer token, in hex.
-        weight: Its share against other accounts.
-        tokens_per_second: Prompt and output tokens; 0 for no limit.
-        most_urgent: The lowest urgency number that it may ask for.
+        weight: Its share relative to other accounts.
+        tokens_per_second: Limit on prompt and output tokens; 0 for none.
+        most_urgent: The lowest urgency number that it may request.
     """
 
     token_sha256: Digest
@@ -120,10 +120,11 @@
 
     Attributes:
         service: The service.
-        urgency: Requests of this urgency.
-        target: Share of requests that must be whole and on time.
-        within: Seconds until the first token (or the answer of a plain
-            call).
+        urgency: Urgency of the requests that it covers.
+        target: Fraction of requests whose answers must be complete and on
+            time.
+        within: Time limit in seconds for the first token, or for the answer
+            of a plain call.
     """
 
     service: str
--- a/packages/gypsumfold/src/gypsumfold/rules.py
+++ b/packages/gypsumfold/src/gypsumfold/rules.py
@@ -1,4 +1,4 @@
-"""What declared objects may say of one another."""
+"""Consistency rules between declared objects."""
 
 import ipaddress
 from typing import NamedTuple
@@ -15,10 +15,10 @@
     "kind": "service",
     "objective": "service",
 }
-# The field of each kind that no two objects may share: one engine behind two
-# names could get conflicting orders, one token must name one account.
+# The field of each kind that must be unique: one engine with two names could
+# get conflicting orders, and one token must identify one account.
 UNIQUE_FIELDS = {"endpoint": "address", "account": "token_sha256"}
-# What stands between the model's name and the rest in these kinds' names.
+# Separator after the model's name in the names of these kinds.
 SEPARATORS = {"version": "@", "adapter": ":"}
 
 
@@ -28,8 +28,8 @@
     Attributes:
         kind: Its kind, a key of `objects.KINDS`.
         name: Its name, unique within the kind.
-        value: What is declared.
-        revision: Offset of the change that last touched it.
+        value: The declared object.
+        revision: Offset of the change that last modified it.
         author: The operator who made that change.
     """
 
@@ -44,11 +44,12 @@
 
 
 def check(found: Objects, touched: set[str]) -> None:
-    """Checks what the objects of the touched kinds say of one another.
+    """Checks the rules between the objects of the touched kinds.
 
     Raises:
-        exceptions.ChangeRejected: An object refers to one that is not
-            there, or two share what only one may have.
+        exceptions.ChangeRejected: An object refers to one that does not
+            exist, two have the same unique field or are both the default,
+            or a name does not start with its model's.
     """
     for kind, field in REFERENCES.items():
         if kind not in touched and field not in touched:
@@ -66,7 +67,7 @@
 
 
 def check_unique(kind: str, found: dict[str, Declared]) -> None:
-    """Refuses two objects that share an address or a token."""
+    """Rejects two objects with the same address or token."""
     field = UNIQUE_FIELDS.get(kind)
     if not field:
         return
@@ -83,10 +84,10 @@
 
 
 def normalize_address(address: str, name: str) -> str:
-    """Spells an address in the one way that can be compared.
+    """Returns an address in a canonical form for comparison.
 
     Raises:
-        exceptions.ChangeRejected: It is no IP number and port.
+        exceptions.ChangeRejected: It is not an IP number and port.
     """
     host, _, port = address.rpartition(":")
     try:
@@ -114,7 +115,7 @@
 
 
 def check_defaults(kind: str, found: dict[str, Declared]) -> None:
-    """Refuses two defaults of one service or model."""
+    """Rejects two defaults of one service or model."""
     if kind not in ("version", "kind"):
         return
     owners: dict[str, str] = {}
--- a/packages/gypsumfold/src/gypsumfold/settings.py
+++ b/packages/gypsumfold/src/gypsumfold/settings.py
@@ -1,7 +1,7 @@
-"""Settings of a node: one TOML file, checked as a whole.
+"""Settings of a node, read from one TOML file.
 
-The types and bounds stand on the classes; `load` names the offending key
-and its line.
+The classes define types and bounds. `load` checks the whole file; its errors
+contain the invalid key and its line.
 """
 
 import pathlib
@@ -24,12 +24,12 @@
 
 
 class NodeSection(Section):
-    """Who this node is.
+    """Identity of this node.
 
     Attributes:
         name: The VM's name in the platform's list.
-        data_centre: Where it stands.
-        address: The IP number it listens on and is reached by.
+        data_centre: The data centre it runs in.
+        address: The IP number on which it listens and is reached.
     """
 
     name: str
@@ -38,7 +38,7 @@
 
 
 class TLSSection(Section):
-    """Certificate files in PEM; TLS is off where the section is left out."""
+    """Certificate files in PEM; TLS is off if the section is missing."""
 
     certificate: str
     key: str
@@ -52,7 +52,8 @@
         port: TCP port.
         body_limit: Largest request body in bytes.
         read_timeout: Seconds a caller may take to send its body.
-        deadline: Seconds a request may take where its kind says nothing.
+        deadline: Seconds a request may take if its kind sets no deadline.
+        tls: TLS of the port; off if missing.
     """
 
     port: Port = 8080
@@ -68,6 +69,7 @@
     Attributes:
         port: TCP port.
         tokens: Operator name to the SHA-256 of its bearer token, in hex.
+        tls: TLS of the port; off if missing.
     """
 
     port: Port = 8081
@@ -76,14 +78,15 @@
 
 
 class PeersSection(Section, kw_only=True):
-    """Node to node.
+    """Connections between nodes.
 
     Attributes:
         port: TCP port, the same on every node.
         secret: Shared by all nodes; signs frames and tokens.
         seeds: IP numbers of nodes, used until the VM list is read.
         heartbeat: Seconds between heartbeats.
-        fanout: Peers to whom a digest goes each round.
+        fanout: Number of peers that get a digest in each round.
+        tls: TLS between nodes; off if missing.
     """
 
     port: Port = 8082
@@ -95,14 +98,14 @@
 
 
 class PlatformSection(Section):
-    """Base addresses of the platform's systems.
+    """Base URLs of the platform's systems.
 
     Attributes:
-        log: Of the log service.
-        vms: Of the list of VMs.
-        weights: Of the weight store.
+        log: Base URL of the log service.
+        vms: Base URL of the VM list.
+        weights: Base URL of the weight store.
         timeout: Seconds for one call.
-        retention: Seconds that the log keeps a record at the least.
+        retention: Minimum seconds that the log keeps a record.
         poll: Seconds between two readings of the VM list.
     """
 
@@ -115,12 +118,12 @@
 
 
 class EndpointsSection(Section):
-    """How endpoints are watched and called.
+    """Polling and calling of endpoints.
 
     Attributes:
         poll: Seconds between two load polls of an endpoint.
         silent_after: Seconds without an answer until it gets no work.
-        connect_timeout: Seconds to connect, and to wait for a 100.
+        connect_timeout: Seconds to connect, and to wait for a 100 response.
         idle_timeout: Seconds without an event until a stream is probed.
         subset: Replicas of a service that one node polls and routes to.
     """
@@ -140,10 +143,11 @@
         renewal: Seconds between two renewals.
         drift: Seconds a challenger waits beyond the duration.
         permission: Seconds that a node's permission to dispatch to an
-            engine lasts unless confirmed.
-        quarantine: Seconds after proof of a holder's end before an engine
-            that checks no tokens gets orders of another.
-        changes: Engines of one service that are changed at a time.
+            engine lasts without confirmation.
+        quarantine: Seconds between proof that a holder has ended and the
+            next holder's first order to an engine that checks no tokens.
+        changes: Maximum number of engines of one service that change at
+            the same time.
     """
 
     duration: Seconds = 6.0
@@ -158,8 +162,9 @@
     """The graceful shutdown of this node.
 
     Attributes:
-        notice: Seconds the balancer needs to see that the node is not ready.
-        limit: Seconds after which requests in progress are given up.
+        notice: Seconds until the load balancer sees that the node is not
+            ready.
+        limit: Seconds until requests in progress are aborted.
     """
 
     notice: Seconds = 2.0
@@ -167,7 +172,7 @@
 
 
 class MetricsSection(Section):
-    """Where statsd metrics go; nowhere if the host is empty."""
+    """Address of the statsd server; no metrics if the host is empty."""
 
     host: str = ""
     port: Port = 8125
@@ -175,7 +180,7 @@
 
 
 class Settings(Section):
-    """All settings of a node, passed whole.
+    """All settings of a node.
 
     >>> settings = load(pathlib.Path("examples/ramp-towage.toml"))
     >>> settings.node.data_centre
@@ -198,13 +203,13 @@
 
     Args:
         path: The TOML file.
-        kind: The class of the whole.
+        kind: The class of the settings.
 
     Returns:
         The settings.
 
     Raises:
-        exceptions.SettingsError: With the key, the reason and the line.
+        exceptions.SettingsError: The file is unreadable or invalid.
     """
     try:
         text = path.read_text()
@@ -218,14 +223,14 @@
 
     Args:
         text: TOML.
-        path: Named in errors.
-        kind: The class of the whole.
+        path: The path for error messages.
+        kind: The class of the settings.
 
     Returns:
         The settings.
 
     Raises:
-        exceptions.SettingsError: With the key, the reason and the line.
+        exceptions.SettingsError: The text is invalid.
     """
     try:
         data = tomllib.loads(text)
@@ -248,14 +253,14 @@
 
 
 def find_line(text: str, key: str) -> int:
-    """Finds the line of a dotted key, or of the table it is missing from.
+    """Finds the line of a dotted key, or of its table if it is missing.
 
     Args:
         text: TOML.
         key: Dotted, for example ``callers.port``.
 
     Returns:
-        The line from 1; 0 if neither the key nor its table stands there.
+        The line from 1; 0 if neither the key nor its table is found.
     """
     table, _, name = re.sub(r"\[.*?\]", "", key).rpartition(".")
     current = ""
