--- a/packages/gypsumfold/src/gypsumfold/catalogues.py
+++ b/packages/gypsumfold/src/gypsumfold/catalogues.py
@@ -1,19 +1,19 @@
-"""Prints the catalogues of events and metrics as pages of the docs.
+"""Prints the catalogues of events and metrics as documentation pages.
 
-``python -m gypsumfold.catalogues events`` gives docs/EVENTS.md and
-``metrics`` docs/METRICS.md; CI checks that the pages are up to date.
+``python -m gypsumfold.catalogues events`` prints docs/EVENTS.md, and
+``metrics`` prints docs/METRICS.md; CI checks that the pages are up to date.
 """
 
 import click
 
-# Every module that defines events or metrics is imported by the node.
+# Importing the node imports every module that defines events or metrics.
 from gypsumfold import events
 from gypsumfold import metrics
 from gypsumfold import node as node_module
 
 
 def events_page() -> str:
-    """Makes docs/EVENTS.md."""
+    """Renders docs/EVENTS.md."""
     lines = [
         "# Log events",
         "",
@@ -33,7 +33,7 @@
 
 
 def metrics_page() -> str:
-    """Makes docs/METRICS.md."""
+    """Renders docs/METRICS.md."""
     lines = [
         "# Metrics",
         "",
@@ -56,7 +56,7 @@
 @click.argument("page", type=click.Choice(sorted(PAGES)))
 def main(page: str) -> None:
     """Print one PAGE."""
-    # The import is what fills the catalogues.
+    # Uses the import, which fills the catalogues.
     assert node_module.Node
     click.echo(PAGES[page](), nl=False)
 
--- a/packages/gypsumfold/src/gypsumfold/clocks.py
+++ b/packages/gypsumfold/src/gypsumfold/clocks.py
@@ -1,13 +1,13 @@
-"""The clock for durations that must hold through a suspension."""
+"""The clock for durations that include time spent suspended."""
 
 import time
 
 
 def now() -> float:
-    """Seconds that go on while the process or the VM is suspended.
+    """Returns seconds that advance while the process or VM is suspended.
 
-    CLOCK_BOOTTIME (Linux clock_gettime(2)) counts suspension, which
-    CLOCK_MONOTONIC does not. The event loop's own time will not do: uvloop
-    keeps it from the start of the iteration, so after a freeze it is old.
+    CLOCK_BOOTTIME (Linux clock_gettime(2)) includes suspended time, which
+    CLOCK_MONOTONIC does not. The event loop's time is unsuitable: uvloop
+    caches it at the start of an iteration, so it is stale after a suspension.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/gypsumfold/src/gypsumfold/metrics.py
+++ b/packages/gypsumfold/src/gypsumfold/metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and timings by statsd; docs/METRICS.md lists them."""
+"""Counters, gauges and timings for statsd; docs/METRICS.md lists them."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 
 
 class Metric(NamedTuple):
-    """One metric: its statsd name, its kind and one sentence on it."""
+    """One metric: its statsd name, its kind and its meaning."""
 
     name: str
     kind: str
@@ -43,7 +43,7 @@
 
 
 class Metrics:
-    """Sends metrics; does nothing where no host is set.
+    """Sends metrics; does nothing if no host is set.
 
     >>> Metrics(settings.metrics).count(REQUESTS, outcome="complete")
     """
--- a/packages/gypsumfold/src/gypsumfold/tls.py
+++ b/packages/gypsumfold/src/gypsumfold/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from settings, for callers, operators and peers."""
+"""TLS contexts built from settings, for callers, operators and peers."""
 
 import ssl
 
@@ -9,14 +9,14 @@
 def server_context(
     section: settings_module.TLSSection | None,
 ) -> ssl.SSLContext | None:
-    """Makes the context of a listening port.
+    """Builds the context of a listening port.
 
     Args:
-        section: Its certificate, and the authority that must have signed
-            the other side's if that is to have one.
+        section: The server's certificate, and the authority for client
+            certificates if they are required.
 
     Returns:
-        The context; None where TLS is off.
+        The context; None if TLS is off.
 
     Raises:
         exceptions.SettingsError: A file cannot be used.
@@ -33,16 +33,16 @@
 def peer_context(
     section: settings_module.TLSSection | None,
 ) -> ssl.SSLContext | None:
-    """Makes the context with which a node connects to its peers.
+    """Builds the context with which a node connects to its peers.
 
-    Names are not checked: peers are known by IP number, and only nodes have
-    certificates of the peers' authority.
+    Host names are not checked: peers are identified by IP number, and only
+    nodes have certificates of the peers' authority.
 
     Args:
         section: The node's certificate and the peers' authority.
 
     Returns:
-        The context; None where TLS is off.
+        The context; None if TLS is off.
 
     Raises:
         exceptions.SettingsError: A file cannot be used.
@@ -56,7 +56,7 @@
 
 
 def load(context: ssl.SSLContext, section: settings_module.TLSSection) -> None:
-    """Loads the files of a section into a context."""
+    """Loads a section's certificate files into a context."""
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     try:
         context.load_cert_chain(section.certificate, section.key)
