--- a/packages/gypsumfold/src/gypsumfold/events.py
+++ b/packages/gypsumfold/src/gypsumfold/events.py
@@ -11,10 +11,10 @@
     """One kind of log line.
 
     Attributes:
-        number: Unique and never used again for another meaning.
+        number: Unique number, never reused for another meaning.
         name: Short, lowercase, hyphenated.
         level: A level name of ``logging``.
-        meaning: One sentence for operators.
+        meaning: One sentence that explains the event to operators.
     """
 
     number: int
@@ -46,19 +46,21 @@
     return event
 
 
-NODE_STARTED = define(100, "node-started", "info", "The process listens.")
+NODE_STARTED = define(
+    100, "node-started", "info", "The process listens on its ports."
+)
 NODE_READY = define(
-    101, "node-ready", "info", "The node takes requests from callers."
+    101, "node-ready", "info", "The node accepts requests from callers."
 )
 NODE_NOT_READY = define(
-    102, "node-not-ready", "warning", "The node takes no new requests."
+    102, "node-not-ready", "warning", "The node accepts no new requests."
 )
 NODE_STOPPING = define(
-    103, "node-stopping", "info", "A graceful shutdown has begun."
+    103, "node-stopping", "info", "A graceful shutdown has started."
 )
 NODE_STOPPED = define(104, "node-stopped", "info", "The process ends.")
 TASK_FAILED = define(
-    105, "task-failed", "error", "A task ended by a failure and starts again."
+    105, "task-failed", "error", "A task failed and is restarted."
 )
 SETTINGS_RELOADED = define(
     108, "settings-reloaded", "info", "The settings file was read again."
@@ -67,25 +69,25 @@
     109,
     "settings-rejected",
     "error",
-    "The settings file cannot be used; the old settings stay.",
+    "The settings file is invalid; the old settings stay in force.",
 )
 LINES_DROPPED = define(
     110,
     "lines-dropped",
     "warning",
-    "Log lines were dropped, since nobody read them fast enough.",
+    "Log lines were dropped because their reader was too slow.",
 )
 NODE_DRAINING = define(
     106,
     "node-draining",
     "info",
-    "The node listens no more; requests in progress go on to their end.",
+    "The node has stopped listening; requests in progress run to completion.",
 )
 NODE_GAVE_UP = define(
     107,
     "node-gave-up",
     "error",
-    "Requests still ran at the shutdown's limit and were cut.",
+    "Requests still running at the shutdown's time limit were aborted.",
 )
 REQUEST_ENDED = define(
     200, "request-ended", "info", "A request got its final answer."
@@ -94,126 +96,137 @@
     201,
     "stream-continued",
     "warning",
-    "A broken stream went on from its last token.",
+    "An interrupted stream was continued after its last token.",
 )
 CLAIM_RECORD_LOST = define(
     210,
     "claim-record-lost",
     "error",
-    "Too many records wait for the log; a repeat of a keyed call is told "
-    "that its end is undetermined.",
+    "Too many records wait for the log; a retry of a call with an idempotency "
+    "key is answered that its outcome is undetermined.",
 )
 CALL_PLACED = define(
     220, "call-placed", "info", "A request is sent to a replica."
 )
 PROMPT_PLACED = define(
-    221, "prompt-placed", "info", "A prompt is sent to an engine to be read."
+    221, "prompt-placed", "info", "A prompt is sent to an engine for prefill."
 )
 ATTEMPT_FAILED = define(
-    222, "attempt-failed", "warning", "A replica did not answer as it should."
+    222,
+    "attempt-failed",
+    "warning",
+    "An attempt to run a request on a replica failed.",
 )
 CALL_REPEATED = define(223, "call-repeated", "info", "A request is sent again.")
 CALL_HELD = define(
     225,
     "call-held",
     "info",
-    "No engine generates; the request waits for one.",
+    "No engine is available for decode; the request waits for one.",
 )
 CALL_HOPELESS = define(
     226,
     "call-hopeless",
     "info",
-    "The caller would leave before its prompt is read; it is told at once.",
+    "The caller would leave before the prefill of its prompt ends; the request "
+    "is refused at once.",
 )
 ROUTE_MISSING = define(
     227,
     "route-missing",
     "info",
-    "No route of the configuration in force has the request's host and path.",
+    "No route in the current configuration matches the request's host and "
+    "path.",
 )
 REPEAT_REFUSED = define(
     228,
     "repeat-refused",
     "info",
-    "A request is not sent once more: this node's share of repeats is used.",
+    "A request is not retried: this node's share of the retry budget is spent.",
 )
 REQUEST_QUARANTINED = define(
     229,
     "request-quarantined",
     "warning",
-    "A request is refused: it has crashed the replicas that ran it.",
+    "A request is refused because it has crashed the replicas that ran it.",
 )
 SUSPECT_HELD = define(
     230,
     "suspect-held",
     "info",
     "A request that may have crashed a replica was held until it could run "
-    "as the only suspect on one, or until its caller would have left.",
+    "as the only suspect on a replica, or until its caller would have left.",
 )
 CALL_ENDED = define(
     224, "call-ended", "info", "A request has its final answer."
 )
 ENDPOINT_HEARD = define(
-    300, "endpoint-heard", "info", "An endpoint answers its load poll."
+    300, "endpoint-heard", "info", "An endpoint answers load polls again."
 )
 ENDPOINT_SILENT = define(
     301,
     "endpoint-silent",
     "warning",
-    "An endpoint was not heard of for seconds; it gets no work.",
+    "An endpoint has not answered load polls for seconds; it gets no work.",
 )
 ENDPOINT_LEAVING = define(
-    302, "endpoint-leaving", "info", "An endpoint leaves; it gets no work."
+    302,
+    "endpoint-leaving",
+    "info",
+    "An endpoint's VM is not listed as live; the endpoint gets no work.",
 )
 REPLICA_CHANGED = define(
     310, "replica-changed", "info", "A replica's registration changed."
 )
 REPLICA_GONE = define(
-    311, "replica-gone", "info", "A replica's registration is gone."
+    311, "replica-gone", "info", "A replica's registration was removed."
 )
 REPLICA_LAPSED = define(
     315,
     "replica-lapsed",
     "info",
-    "A replica's registration is missing; it still gets work for a moment, "
-    "since the store may have been away.",
+    "A replica's registration is missing; the replica still gets work for a "
+    "short time, since the store may have been unavailable.",
 )
 REPLICA_RESTARTED = define(
     314,
     "replica-restarted",
     "info",
-    "A replica has started again under its old id; it holds nothing.",
+    "A replica has restarted under its old id and has lost its state.",
 )
 REPLICA_SILENT = define(
     312,
     "replica-silent",
     "warning",
-    "A replica sends nothing though it owes answers; it gets no work.",
+    "A replica sends nothing although answers are pending; it gets no work.",
 )
 REPLICA_CRASHED = define(
     316,
     "replica-crashed",
     "warning",
-    "A replica ended while it ran requests of this node, by their "
-    "fingerprints.",
+    "A replica crashed while it ran requests of this node, which are listed "
+    "by fingerprint.",
 )
 QUARANTINE_BEGUN = define(
     317,
     "quarantine-begun",
     "warning",
-    "A request is sent to no replica for now, as it crashed several.",
+    "A request that crashed several replicas is sent to none for now.",
 )
 SUSPECT_CLEARED = define(
     318,
     "suspect-cleared",
     "info",
-    "A request that was interrupted by a crash has run to its end.",
+    "A request that was interrupted by a crash has run to completion.",
 )
 REPLICA_HEARD = define(
-    313, "replica-heard", "info", "A silent replica gives a sign of life."
+    313, "replica-heard", "info", "A silent replica sends data again."
 )
 STORE_LOST = define(
-    410, "store-lost", "warning", "The store does not answer; all goes on."
+    410,
+    "store-lost",
+    "warning",
+    "The store does not answer; requests are still served.",
 )
 STORE_REGAINED = define(
     411, "store-regained", "info", "The store answers again."
@@ -222,78 +235,96 @@
     413,
     "topic-read",
     "info",
-    "All that a topic of the store says was read again after a failed read.",
+    "A topic of the store was read completely after a failed read.",
 )
 TOPIC_UNREAD = define(
     415, "topic-unread", "warning", "A read of a topic of the store failed."
 )
 STORE_CALLED = define(
-    412, "store-called", "info", "Calls to the store since the last such line."
+    412,
+    "store-called",
+    "info",
+    "Calls to the store since the last event of this kind.",
 )
 LOG_DOWN = define(
-    400, "log-down", "warning", "The log cannot be read; requests go on."
+    400,
+    "log-down",
+    "warning",
+    "The log cannot be read; requests are still served.",
 )
 RECORD_SKIPPED = define(
-    402, "record-skipped", "error", "A record on the log cannot be read."
+    402,
+    "record-skipped",
+    "error",
+    "A record on the log cannot be decoded and is skipped.",
 )
 LOG_UP = define(401, "log-up", "info", "The log can be read again.")
 PEER_CONNECTED = define(500, "peer-connected", "info", "A peer answers.")
 PEER_LOST = define(
-    501, "peer-lost", "warning", "A peer failed on a fresh connection too."
+    501, "peer-lost", "warning", "A peer failed on a new connection as well."
 )
 FRAME_REFUSED = define(
-    502, "frame-refused", "warning", "A frame from a peer was not authentic."
+    502,
+    "frame-refused",
+    "warning",
+    "A frame from a peer was rejected as not authentic.",
 )
 RELAY_CHOSEN = define(
     510,
     "relay-chosen",
     "info",
-    "This node hears of the others and of the store by another relay.",
+    "This node gets its updates of other nodes and of the store from another "
+    "relay.",
 )
 KNOWLEDGE_DOUBTED = define(
     511,
     "knowledge-doubted",
     "info",
-    "What a relay told is too old or differs; the store is read instead.",
+    "A relay's data is too old or inconsistent; the store is read instead.",
 )
 ENTRY_SUSPECTED = define(
     513,
     "entry-suspected",
     "info",
-    "A node that is not heard was marked in the store; it may renew its entry.",
+    "The entry of a silent node was marked in the store; it may renew it.",
 )
 CRASH_RECORDS_DELAYED = define(
     414,
     "crash-records-delayed",
     "warning",
-    "The requests that crash replicas could not be read or written yet.",
+    "The records of requests that crash replicas could not be read or written "
+    "yet.",
 )
 ENTRY_RENEWED = define(
-    514, "entry-renewed", "info", "The entry of a node that runs was renewed."
+    514,
+    "entry-renewed",
+    "info",
+    "The store entry of a running node was renewed.",
 )
 ENTRY_REMOVED = define(
     515,
     "entry-removed",
     "info",
-    "The marked entry of a node was removed, as nobody has renewed it.",
+    "The marked entry of a node was removed because it was not renewed.",
 )
 DATAGRAMS_SENT = define(
     516,
     "datagrams-sent",
     "info",
-    "Kilobytes sent to other nodes since the last such line, by kind.",
+    "Kilobytes sent to other nodes since the last event of this kind, by kind "
+    "of message.",
 )
 PEER_SILENT = define(
     512,
     "peer-silent",
     "warning",
-    "A relay did not answer a question; the store or the engines are asked.",
+    "A relay did not answer a query; the store or the engines are queried.",
 )
 ORDERS_GAINED = define(
-    610, "orders-gained", "info", "This node may give orders to engines."
+    610, "orders-gained", "info", "This node may now send orders to engines."
 )
 ORDERS_LOST = define(
-    611, "orders-lost", "info", "This node may give no orders any more."
+    611, "orders-lost", "info", "This node may no longer send orders."
 )
 ROLE_ORDERED = define(
     612, "role-ordered", "info", "An engine was ordered to change its role."
@@ -302,62 +333,66 @@
     613,
     "role-order-failed",
     "warning",
-    "It is not known, or known to be false, that an order was accepted.",
+    "An order was not accepted, or it is not known whether it was.",
 )
 LEASE_GRANTED = define(
     600, "lease-granted", "info", "This node holds the lease of a service."
 )
 LEASE_RELEASED = define(
-    601, "lease-released", "info", "This node gave a lease up."
+    601, "lease-released", "info", "This node released a lease."
 )
 HOLDER_ENDED = define(
     602,
     "holder-ended",
     "info",
-    "There is proof that an earlier holder of a lease is gone.",
+    "There is proof that an earlier holder of a lease has ended.",
 )
-ORDER_SENT = define(603, "order-sent", "info", "An order goes to an engine.")
+ORDER_SENT = define(603, "order-sent", "info", "An order is sent to an engine.")
 ORDER_ENDED = define(
-    604, "order-ended", "info", "It is known what became of an order."
+    604, "order-ended", "info", "The outcome of an order is known."
 )
 CONFIG_APPLIED = define(
     700, "config-applied", "info", "A change of configuration is in force."
 )
 CONFIG_REJECTED = define(
-    701, "config-rejected", "info", "A change of configuration is void."
+    701, "config-rejected", "info", "A change of configuration was rejected."
 )
 CONFIG_IN_FORCE = define(
-    710, "config-in-force", "info", "A version of the configuration is used."
+    710,
+    "config-in-force",
+    "info",
+    "A version of the configuration is now in force.",
 )
 CONFIG_UNREADABLE = define(
     711,
     "config-unreadable",
     "error",
-    "A version of the configuration cannot be read; the last one stays.",
+    "A version of the configuration cannot be read; the last one stays in "
+    "force.",
 )
 CONFIG_RESTORED = define(
     702,
     "config-restored",
     "info",
-    "The configuration moved forward to a snapshot.",
+    "The configuration was advanced to a snapshot.",
 )
 CONFIG_PULL_FAILED = define(
     703,
     "config-pull-failed",
     "warning",
-    "A peer that is ahead did not give its configuration.",
+    "A peer with a newer configuration did not send it.",
 )
 SNAPSHOT_PUBLISHED = define(
     704,
     "snapshot-published",
     "info",
-    "A snapshot of the configuration is on the log.",
+    "A snapshot of the configuration was appended to the log.",
 )
 SNAPSHOT_FAILED = define(
     705,
     "snapshot-failed",
     "warning",
-    "A snapshot of the configuration could not be put on the log.",
+    "A snapshot of the configuration could not be appended to the log.",
 )
 SNAPSHOT_NOT_SOUGHT = define(
     706,
@@ -369,7 +404,7 @@
     801,
     "retries-shared",
     "info",
-    "The budget of repeats is shared by another number of nodes.",
+    "The number of nodes that share the retry budget has changed.",
 )
 ROLE_PLANNED = define(
     800, "role-planned", "info", "The planner wants an engine in another role."
@@ -377,11 +412,11 @@
 
 
 def configure(node: str, stream=sys.stderr) -> None:
-    """Sets structlog up to write one JSON object a line.
+    """Configures structlog to write one JSON object per line.
 
     Args:
-        node: The node's name, on every line.
-        stream: Where the lines go.
+        node: The node's name, added to every line.
+        stream: The output stream.
     """
     structlog.configure(
         processors=[
@@ -402,8 +437,8 @@
     """Writes one event.
 
     Args:
-        event: What happened.
-        **fields: Names and values to go with it; never a secret.
+        event: The kind of event.
+        **fields: Further fields of the line; must not contain secrets.
     """
     write = getattr(structlog.get_logger(), event.level)
     write(event.name, number=event.number, **fields)
