--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -220,13 +220,13 @@
                 raise exceptions.EndpointNotStarted(f"status {response.status}")
             if response.status != 200:
                 raise exceptions.EndpointFailed(f"status {response.status}")
-            check = tokens.StreamValidator(dispatch_id, index)
+            validator = tokens.StreamValidator(dispatch_id, index)
             async for event in self.read_events(response):
-                item = check.validate(event)
+                item = validator.validate(event)
                 if item is None:
                     break
                 yield item
-            check.check_complete()
+            validator.check_complete()
             is_complete = True
         finally:
             # Only the connection of a complete stream returns to the pool:
