--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -190,7 +190,7 @@
             yield item
 
     async def cancel(self, dispatch_id: str) -> None:
-        """Cancels a dispatch; connection errors are ignored."""
+        """Cancels a dispatch; errors and timeouts are ignored."""
         timeout = aiohttp.ClientTimeout(total=self.settings.connect_timeout)
         url = f"{self.base_url}/dispatches/{dispatch_id}"
         try:
