--- a/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/engines.py
@@ -14,7 +14,7 @@
 from gypsumfold.endpoints import sse
 from gypsumfold.endpoints import tokens
 
-# Statuses that show that the engine has not started the dispatch.
+# Statuses that mean that the engine has not started the dispatch.
 NOT_STARTED_STATUSES = (404, 429, 503)
 
 # How long an engine may take to end the body after the end marker.
--- a/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/fleet.py
@@ -37,8 +37,8 @@
             minus infinity before the first answer and after `Fleet.suspend`.
         last_used: Monotonic time at which this node last sent work there;
             minus infinity before that.
-        vm_leaving: Whether the platform's list of VMs does not show the
-            endpoint's VM as live.
+        vm_leaving: Whether the endpoint's VM is leaving, according to the
+            platform's list of VMs.
         permit: Whether this node may dispatch to the endpoint.
         task: The task that polls the endpoint.
     """
--- a/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
+++ b/packages/gypsumfold/src/gypsumfold/endpoints/permits.py
@@ -40,7 +40,7 @@
 
 
 class DispatchBody:
-    """The body of a dispatch, sent only if the permit allows it then.
+    """The body of a dispatch, sent only if the permit still allows it.
 
     Attributes:
         refused: Whether the permit refused the body.
