--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -179,11 +179,11 @@
             raise key_errors.out_of_window(age)
         if not self.is_log_readable():
             raise key_errors.claim_failed("the log cannot be read")
-        patience = min(self.claim_timeout, attempt.time_left)
+        timeout = min(self.claim_timeout, attempt.time_left)
         try:
-            offset = await self.batcher.append(attempt.claim, patience)
+            offset = await self.batcher.append(attempt.claim, timeout)
             attempt.claimed = True
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(timeout):
                 await self.tail.wait_until_delivered(offset)
         except exceptions.LogUnavailable as error:
             raise key_errors.claim_failed("the log takes no claim") from error
