--- a/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/keyed_calls.py
@@ -83,7 +83,7 @@
         self.claim_timeout = node.settings.platform.timeout
         self.claims = claims_module.Claims(node.settings.platform.retention)
         self.batcher = batches.Batcher(node.log, records.CLAIMS)
-        self.dispatches = call_runner.CallRunner(node)
+        self.runner = call_runner.CallRunner(node)
         self.tail = node.tails[records.CLAIMS]
         self.tail.subscribe(self.apply, self.claims.gap)
         self.attempts: dict[AccountKey, Attempt] = {}
@@ -208,7 +208,7 @@
     async def dispatch(self, attempt: Attempt) -> call_results.CallResult:
         """Runs the call; the attempt's claim is the winning one."""
         try:
-            answer = await self.dispatches.run(
+            answer = await self.runner.run(
                 attempt.service_call, lambda: self.can_run(attempt)
             )
             result = call_results.CallResult(answer, None)
