--- a/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
@@ -81,7 +81,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.dispatches = call_runner.CallRunner(node)
+        self.runner = call_runner.CallRunner(node)
         self.signer = itsdangerous.URLSafeSerializer(
             node.settings.peers.secret, salt="gypsumfold-bound-key"
         )
@@ -175,7 +175,7 @@
         """Runs the only attempt; a refused call cannot run any more."""
         try:
             return call_results.CallResult(
-                await self.dispatches.run(service_call), None
+                await self.runner.run(service_call), None
             )
         except exceptions.RequestError as error:
             return call_results.CallResult(None, error)
