--- a/packages/gypsumfold/src/gypsumfold/callers/calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/calls.py
@@ -35,7 +35,7 @@
 
     def __init__(self, node):
         self.node = node
-        self.dispatches = call_runner.CallRunner(node)
+        self.runner = call_runner.CallRunner(node)
         self.keyed = keyed_calls.KeyedCalls(node)
         self.bound = bound_calls.BoundCalls(node)
         node.peers.handle("calls.bound", thrift.BoundCall, self.on_bound)
@@ -85,12 +85,12 @@
         """Serves one request according to the kind of its key."""
         if key is None:
             return call_results.CallResult(
-                await self.dispatches.run(service_call), None
+                await self.runner.run(service_call), None
             )
         if service_call.request.repeatable:
             try:
                 return call_results.CallResult(
-                    await self.dispatches.run(service_call), None
+                    await self.runner.run(service_call), None
                 )
             except exceptions.RequestError as error:
                 return call_results.CallResult(
