--- a/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/bound_calls.py
@@ -187,14 +187,14 @@
         if len(service_call.body) > MAX_FORWARDED_BODY_BYTES:
             return call_results.CallResult(None, body_too_large())
         request = service_call.request
-        left = max(0.0, request.deadline - time.monotonic())
+        time_left = max(0.0, request.deadline - time.monotonic())
         message = thrift.BoundCall(
             request.account,
             request.service,
             service_call.name,
             text,
             service_call.body,
-            left,
+            time_left,
         )
         try:
             reply = await self.node.peers.call(
@@ -202,7 +202,7 @@
                 "calls.bound",
                 message,
                 thrift.CallEnding,
-                left + REPLY_GRACE_SECONDS,
+                time_left + REPLY_GRACE_SECONDS,
             )
             return call_results.from_thrift(reply)
         except exceptions.PeerError as error:
