--- a/packages/gypsumfold/src/gypsumfold/callers/call_runner.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/call_runner.py
@@ -141,12 +141,12 @@
             watched = self.node.fleet.endpoints.get(grant.replica)
             if watched is None:
                 raise exceptions.EndpointNotStarted("no longer declared")
-            left = max(0.0, request.deadline - time.monotonic())
+            time_left = max(0.0, request.deadline - time.monotonic())
             answer = await watched.client.call(
                 service_call.name,
                 service_call.body,
                 request.id,
-                left,
+                time_left,
                 lambda: service_call.is_in_time() and permit(),
             )
             finish = types.Finish.DONE
