--- a/packages/gypsumfold/src/gypsumfold/callers/completions.py
+++ b/packages/gypsumfold/src/gypsumfold/callers/completions.py
@@ -69,12 +69,12 @@
         content = await bodies.read(request, self.node.settings.callers)
         body = read_body(content)
         service, model = models.resolve(self.node.configuration, body.model)
-        wanted = self.describe(request, service, model, body)
-        state.request = wanted
+        model_request = self.describe(request, service, model, body)
+        state.request = model_request
         answer = answers.EngineAnswer(
             self.node.dispatcher(service),
             self.node.fleet,
-            wanted,
+            model_request,
             body.messages,
             self.node.new_id,
         )
