--- a/packages/gypsumfold/src/gypsumfold/shutdown.py
+++ b/packages/gypsumfold/src/gypsumfold/shutdown.py
@@ -84,7 +84,7 @@
         await self.wait_until_idle(node, limit)
         if node.in_progress():
             events.log(events.NODE_GAVE_UP, requests=node.in_progress())
-            node.callers.give_up()
+            node.callers.abort_requests()
             await self.wait_until_idle(node, limit + FINAL_WRITE_SECONDS)
         if node.in_progress():
             closing.cancel()
