--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -127,8 +127,8 @@
     def peer_demands(self, service: str) -> list[types.Demand]:
         """Returns each peer's last reported demand for a service."""
         found = []
-        for heard in self.received.values():
-            for one in heard.message.demand:
+        for digest in self.received.values():
+            for one in digest.message.demand:
                 if one.service_name != service:
                     continue
                 found.append(
