--- a/packages/gypsumfold/src/gypsumfold/digests.py
+++ b/packages/gypsumfold/src/gypsumfold/digests.py
@@ -141,8 +141,8 @@
     def peer_usage(self, service: str) -> list[types.AccountUsage]:
         """Returns the most active accounts of a service at the peers."""
         found = []
-        for heard in self.received.values():
-            for one in heard.message.hottest:
+        for digest in self.received.values():
+            for one in digest.message.hottest:
                 if one.service_name == service:
                     found.append(
                         types.AccountUsage(one.account, one.tokens_per_second)
