--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -35,7 +35,7 @@
         self.counters = burn.Counters(incarnation)
 
     def count_answer(
-        self, request: types.Request, whole: bool, seconds: float | None
+        self, request: types.Request, is_complete: bool, seconds: float | None
     ) -> None:
         """Counts one final answer.
 
@@ -46,7 +46,7 @@
                 plain call; None if there was none.
         """
         limit = self.find_time_limit(request)
-        good = whole and seconds is not None and seconds <= limit
+        good = is_complete and seconds is not None and seconds <= limit
         self.counters.add(request.service, request.urgency, good, time.time())
 
     def find_time_limit(self, request: types.Request) -> float:
