--- a/packages/gypsumfold/src/gypsumfold/events.py
+++ b/packages/gypsumfold/src/gypsumfold/events.py
@@ -161,7 +161,7 @@
     224, "call-ended", "info", "A request has its final answer."
 )
 ENDPOINT_HEARD = define(
-    300, "endpoint-heard", "info", "An endpoint answers load polls again."
+    300, "endpoint-heard", "info", "An endpoint answers its load polls."
 )
 ENDPOINT_SILENT = define(
     301,
--- a/packages/gypsumfold/src/gypsumfold/reporting.py
+++ b/packages/gypsumfold/src/gypsumfold/reporting.py
@@ -20,7 +20,7 @@
     """Counts final answers and builds the burn report.
 
     >>> reporting = Reporting(incarnation, configuration, log)
-    >>> reporting.count_answer(request, whole=True, seconds=0.4)
+    >>> reporting.count_answer(request, is_complete=True, seconds=0.4)
     >>> report = await reporting.report()
     """
 
@@ -41,7 +41,7 @@
 
         Args:
             request: The answered request.
-            whole: Whether the caller got its complete answer.
+            is_complete: Whether the caller got its complete answer.
             seconds: Time until the first token, or until the answer of a
                 plain call; None if there was none.
         """
