--- a/features/steps/fuzzing_steps.py
+++ b/features/steps/fuzzing_steps.py
@@ -120,7 +120,7 @@
         context.gossip.datagram_received(data, ("10.0.0.9", 1))
         heard = len(context.gossip.last_sequences) > before
         context.ends["decoded" if heard else "refused"] += 1
-        sums = context.gossip.loads.homes.waiting.remote_totals
+        sums = context.gossip.loads.prefix_router.waiting.remote_totals
         assert all(map(math.isfinite, sums.values())), sums
 
     receive()
--- a/features/steps/gateway_split_steps.py
+++ b/features/steps/gateway_split_steps.py
@@ -252,7 +252,7 @@
         mock.Mock(),
         mock.Mock(),
         gossip,
-        gossip.loads.homes,
+        gossip.loads.prefix_router,
     )
     pressed = role_split.Load(1.5 * readers, streams=0.3, demand=1.2 * readers)
     context.planner.load = lambda service, now: pressed
--- a/features/steps/relays_steps.py
+++ b/features/steps/relays_steps.py
@@ -394,7 +394,7 @@
 def step_follower(context, version):
     context.knowledge = relay_knowledge(lambda: False)
     context.knowledge.configurations.current = mock.Mock(version=version)
-    context.knowledge.questions = mock.Mock(fetch=mock.AsyncMock())
+    context.knowledge.query_client = mock.Mock(fetch=mock.AsyncMock())
     for watch in (
         context.knowledge.registrations_watch,
         context.knowledge.configuration_watch,
@@ -404,7 +404,7 @@
 
 @behave.when("the relay tells of the version {version:d}")
 def step_tells(context, version):
-    told = messages.Knowledge(0, 0.0, 0, [], 0.0, version, 5, 0.0)
+    told = messages.CopyState(0, 0.0, 0, [], 0.0, version, 5, 0.0)
     context.knowledge.receive(told, ("10.0.0.2", 1), False)
 
 
@@ -412,7 +412,7 @@
 def step_reads(context):
     assert context.knowledge.should_read_configuration()
     asyncio.run(context.knowledge.fetch_configuration())
-    context.knowledge.questions.fetch.assert_not_called()
+    context.knowledge.query_client.fetch.assert_not_called()
 
 
 @behave.when("that read has failed")
@@ -427,7 +427,7 @@
         offered.append((record, source))
     )
     asyncio.run(context.knowledge.fetch_configuration())
-    context.knowledge.questions.fetch.assert_called_once()
+    context.knowledge.query_client.fetch.assert_called_once()
     assert len(offered) == 1, offered
 
 
--- a/features/steps/restarts_steps.py
+++ b/features/steps/restarts_steps.py
@@ -115,7 +115,7 @@
 def step_node(context, born):
     context.gossip = made_up.gossip()
     context.directory = context.gossip.directory
-    context.homes = context.gossip.loads.homes
+    context.homes = context.gossip.loads.prefix_router
     context.endpoints = mock.AsyncMock()
     context.planner = role_planning.RolePlanner(
         mock.Mock(),
--- a/features/support/control_model.py
+++ b/features/support/control_model.py
@@ -66,16 +66,16 @@
     def read(self, at, count):
         node = self.nodes[at]
         if node.next < self.first:
-            node.books.gap(node.next, self.first)
+            node.control_state.gap(node.next, self.first)
             node.next = self.first
             node.tenure.end()
         for noted in self.log[node.next : node.next + count]:
             self.hand_out(node, noted)
         if node.next == len(self.log):
-            node.books.caught_up()
+            node.control_state.caught_up()
 
     def hand_out(self, node, noted):
-        node.books.through = noted.offset
+        node.control_state.through = noted.offset
         valid = node.book.apply(noted, node.now)
         node.book.advance(noted.offset, noted.time)
         node.next = noted.offset + 1
--- a/features/support/control_parts.py
+++ b/features/support/control_parts.py
@@ -49,7 +49,7 @@
 
 
 class Node:
-    """One node: its books, its place in the stream and its checked sends."""
+    """One node: control state, place in the stream and checked sends."""
 
     def __init__(self, number, generation, first, now):
         self.rate = RATES[number]
@@ -59,15 +59,17 @@
             self.incarnation, f"n{number}", self.address
         )
         self.now = now * self.rate
-        self.books = control_state.ControlState(RETENTION, lambda: self.now)
+        self.control_state = control_state.ControlState(
+            RETENTION, lambda: self.now
+        )
         self.next = 0
         self.tenure = leases.Tenure(self.identity)
         self.checked = []
         self.gave_up = {}
         if first:
-            self.books.gap(0, first)
+            self.control_state.gap(0, first)
             self.next = first
 
     @property
     def book(self):
-        return self.books.service_state(SERVICE)
+        return self.control_state.service_state(SERVICE)
--- a/features/support/permission_model.py
+++ b/features/support/permission_model.py
@@ -28,8 +28,10 @@
     def __init__(self, rate):
         self.rate = rate
         self.now = 0.0
-        self.books = control_state.ControlState(86400.0, lambda: self.now)
-        self.permissions = permissions.Permissions(SETTINGS, self.books)
+        self.control_state = control_state.ControlState(
+            86400.0, lambda: self.now
+        )
+        self.permissions = permissions.Permissions(SETTINGS, self.control_state)
         self.permissions.nodes = NODES
         self.reads = []
         self.asks = []
@@ -88,8 +90,8 @@
         if not node.reads:
             return
         asked, end = node.reads.pop(0)
-        for entry in self.log[node.books.through + 1 : end]:
-            node.books.apply(entry)
+        for entry in self.log[node.control_state.through + 1 : end]:
+            node.control_state.apply(entry)
         node.permissions.confirmed = max(node.permissions.confirmed, asked)
 
     @stateful.rule(at=at, other=at)
@@ -99,7 +101,7 @@
         if at == other or not self.reaches(at, other):
             return
         closed = dict(peer.permissions.closed_engines())
-        node.asks.append((other, node.now, peer.books.through, closed))
+        node.asks.append((other, node.now, peer.control_state.through, closed))
 
     def peer_answers(self, at):
         node = self.nodes[at]
@@ -131,7 +133,10 @@
         """The one that closes calls the others; some answer."""
         self.read_all(CLOSER)
         node = self.nodes[CLOSER]
-        if self.closed_at is None or node.books.through < self.closed_at:
+        if (
+            self.closed_at is None
+            or node.control_state.through < self.closed_at
+        ):
             return
         asked = node.now
         reached = {o for o in reached if self.reaches(CLOSER, o)} | {CLOSER}
--- a/features/support/relay_site.py
+++ b/features/support/relay_site.py
@@ -71,12 +71,12 @@
             store=settings_module.StoreSection("10.200.0.1:1"),
             peers=settings_module.PeersSection(f"{host}:{PORT}"),
         )
-        self.homes = prefix_routing_module.PrefixRouter()
+        self.prefix_router = prefix_routing_module.PrefixRouter()
         directory = directory_module.Directory(random.Random(place))
         self.gossip = gossip_module.Gossip(
             settings,
             mock.Mock(put=site.write_entry, newest=site.newest_entries),
-            self.homes,
+            self.prefix_router,
             mock.Mock(
                 member=f"{self.name}-{start:016x}",
                 token=lambda now: None,
@@ -110,7 +110,7 @@
 
     def waiting(self, engine: str, now: float) -> float:
         """Seconds of prompts at an engine, as this node believes."""
-        return self.homes.waiting.total(f"{engine}/0", now)
+        return self.prefix_router.waiting.total(f"{engine}/0", now)
 
 
 def finish(coroutine) -> None:
@@ -228,13 +228,13 @@
     def place(self, name: str, engine: str, seconds: float) -> None:
         """Has a node send a prompt to an engine."""
         node = self.nodes[name]
-        node.homes.waiting.add(f"{engine}/0", seconds)
+        node.prefix_router.waiting.add(f"{engine}/0", seconds)
         node.gossip.sent(engine, [self.rng.getrandbits(60)], [4000])
 
     def finish(self, name: str, engine: str, seconds: float) -> None:
         """Has an engine be done with a node's prompt."""
         node = self.nodes[name]
-        node.homes.waiting.remove(f"{engine}/0", seconds)
+        node.prefix_router.waiting.remove(f"{engine}/0", seconds)
         node.gossip.done()
 
     def beliefs(self, engine: str) -> list[float]:
--- a/features/support/virtual_gateways.py
+++ b/features/support/virtual_gateways.py
@@ -155,7 +155,7 @@
                 line_writer.NonBlockingLineWriter(descriptor),
             )
         self.gateway.gossip.sender.transport = self
-        self.gateway.questions.fetch = self.ask
+        self.gateway.query_client.fetch = self.ask
 
     def start(self) -> None:
         """Starts the tasks that learn what the store and others say."""
@@ -207,7 +207,7 @@
         await asyncio.sleep(2 * NETWORK)
         for node in self.site.nodes.values():
             if node.address == tuple(address):
-                return node.gateway.answers.sources[path]()
+                return node.gateway.query_handler.sources[path]()
         raise exceptions.PeerUnreachable(path)
 
     def uses(self, service: str) -> set[str]:
--- a/packages/gypsumfold/src/gypsumfold/control/control.py
+++ b/packages/gypsumfold/src/gypsumfold/control/control.py
@@ -128,13 +128,13 @@
             lambda: self.engines(service),
             self.node.new_id,
         )
-        plan = role_planning.RolePlanning(
+        planner = role_planning.RolePlanner(
             service, self.node.fleet, self.node.dispatchers, lease_manager
         )
-        executor.planned_role = plan.planned_role
+        executor.planned_role = planner.planned_role
         self.node.supervise(f"lease-{service}", lease_manager.run)
         self.node.supervise(f"changes-{service}", executor.run)
-        self.node.supervise(f"planning-{service}", plan.run)
+        self.node.supervise(f"planning-{service}", planner.run)
         return ServiceControl(lease_manager, executor)
 
     def engines(self, service: str) -> list[order_executor.Engine]:
--- a/packages/gypsumfold/src/gypsumfold/control/role_planning.py
+++ b/packages/gypsumfold/src/gypsumfold/control/role_planning.py
@@ -26,14 +26,14 @@
 SPECIALIZED_GAIN = 1.33
 
 
-class RolePlanning:
+class RolePlanner:
     """Runs the planner of one service and keeps the roles it has chosen.
 
-    >>> planning = RolePlanning(
+    >>> planner = RolePlanner(
     ...     "dispatch", fleet, dispatchers, lease_manager
     ... )
-    >>> executor.planned_role = planning.planned_role
-    >>> await planning.run()
+    >>> executor.planned_role = planner.planned_role
+    >>> await planner.run()
     """
 
     def __init__(
--- a/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/incarnations.py
@@ -1,4 +1,4 @@
-"""Tells messages about a replica's newest incarnation from older ones.
+"""Separates messages about a replica's newest incarnation from older ones.
 
 Load pattern: a replica that restarts under the same instance name while
 entries and reports from before the restart are still in flight. If they were
--- a/packages/gypsumfold/src/gypsumfold/decisions/member_entries.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/member_entries.py
@@ -107,8 +107,8 @@
         for entered in self.entries.values():
             if entered.suspected_at is not None:
                 continue
-            heard = members.last_seen.get(entered.member.name, -math.inf)
-            if now - heard >= SUSPECT_AFTER_SECONDS:
+            last_seen = members.last_seen.get(entered.member.name, -math.inf)
+            if now - last_seen >= SUSPECT_AFTER_SECONDS:
                 found.append(entered.member)
         return found
 
--- a/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/prefix_routing.py
@@ -113,7 +113,9 @@
 class LoadListener(Protocol):
     """Receives changes of this node's load, to send them to other nodes."""
 
-    def sent(self, engine: str, links: list[int], tokens: list[int]) -> None:
+    def sent(
+        self, engine: str, prefix_hashes: list[int], tokens: list[int]
+    ) -> None:
         """A prompt was sent to an engine."""
 
     def done(self) -> None:
--- a/packages/gypsumfold/src/gypsumfold/decisions/silence.py
+++ b/packages/gypsumfold/src/gypsumfold/decisions/silence.py
@@ -3,7 +3,8 @@
 Load pattern: an engine that stops responding with dozens of streams on it. Its
 entry stays for seconds, its connections aren't reset, and everything sent there
 waits until its deadline. A running engine sends bytes several times a second on
-some stream, so silence on all of them tells more than any health check.
+some stream, so silence on all of them is stronger evidence than any health
+check.
 """
 
 # Seconds without a byte on any connection with an open request after which a
--- a/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/cache_lists.py
@@ -39,7 +39,7 @@
         has_lists: Whether this node has any lists.
 
     >>> lists = CacheLists(
-    ...     directory, configurations, endpoints, router, gossip, questions
+    ...     directory, configurations, endpoints, router, gossip, query_client
     ... )
     >>> await lists.run()
     """
@@ -51,14 +51,14 @@
         endpoints: types.Endpoints,
         prefix_router: prefix_routing_module.PrefixRouter,
         gossip: gossip_module.Gossip,
-        questions: queries_module.QueryClient,
+        query_client: queries_module.QueryClient,
     ):
         self.directory = directory
         self.configurations = configurations
         self.endpoints = endpoints
         self.prefix_router = prefix_router
         self.gossip = gossip
-        self.questions = questions
+        self.query_client = query_client
         self.asked: set[str] = set()
         self.started = False
         self.has_lists = False
@@ -80,7 +80,7 @@
         if relay is None:
             return
         try:
-            body = await self.questions.fetch(relay, queries_module.CACHES)
+            body = await self.query_client.fetch(relay, queries_module.CACHES)
             found = queries_module.CACHES_DECODER.decode(body)
         except exceptions.PeerRefused:
             # It has no lists yet; it may have just started, too.
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -150,20 +150,24 @@
         self.crash_records = crash_records_module.CrashRecords(
             self.store, self.quarantine, self.gossip.is_store_reader
         )
-        self.questions = queries.QueryClient(self.session, self.gossip.sealer)
+        self.query_client = queries.QueryClient(
+            self.session, self.gossip.sealer
+        )
         self.cache_lists = cache_lists.CacheLists(
             self.directory,
             self.configurations,
             self.endpoints,
             self.prefix_router,
             self.gossip,
-            self.questions,
+            self.query_client,
         )
-        self.answers = queries.QueryHandler(self.gossip.sealer)
-        self.answers.sources[queries.CONFIGURATION] = lambda: (
+        self.query_handler = queries.QueryHandler(self.gossip.sealer)
+        self.query_handler.sources[queries.CONFIGURATION] = lambda: (
             self.configurations.record
         )
-        self.answers.sources[queries.CACHES] = self.cache_lists.encode_caches
+        self.query_handler.sources[queries.CACHES] = (
+            self.cache_lists.encode_caches
+        )
         self.planner = role_planning.RolePlanner(
             self.leadership,
             self.directory,
@@ -183,15 +187,15 @@
             self.watches["registrations"],
             self.watches["configuration"],
             self.gossip.is_store_reader,
-            self.questions,
+            self.query_client,
             self.read_timeouts,
         )
-        self.gossip.summaries.knowledge = self.store_copy
+        self.gossip.summaries.store_copy = self.store_copy
         self.registrations.on_change = self.gossip.note_store_read
         self.configurations.listeners.append(
             lambda _: self.gossip.note_store_read()
         )
-        self.answers.sources[queries.REGISTRATIONS] = (
+        self.query_handler.sources[queries.REGISTRATIONS] = (
             self.store_copy.encode_registrations
         )
         self.leadership.is_candidate = self.gossip.can_lead
@@ -300,7 +304,7 @@
         if not self.settings.node.first_start:
             self.supervise("cache-lists", self.cache_lists.run)
             self.supervise("crash-records-read", self.crash_records.read)
-        await self.serve(self.answers.handle, self.settings.peers.address)
+        await self.serve(self.query_handler.handle, self.settings.peers.address)
         await self.server.start(self.settings.callers.front)
         await self.serve(self.answer_ready, self.settings.callers.ready)
         if self.settings.metrics.port:
@@ -376,17 +380,17 @@
     def share_retries(self) -> None:
         """Divides the site's retry budget by the number of known nodes."""
         nodes = self.gossip.sharing_node_count()
-        apart = self.gossip.is_partitioned()
-        if (nodes, apart) == (self.budget.nodes, self.budget.partitioned):
+        partitioned = self.gossip.is_partitioned()
+        if (nodes, partitioned) == (self.budget.nodes, self.budget.partitioned):
             return
         events.log(
             events.RETRIES_SHARED,
             nodes=nodes,
             before=self.budget.nodes,
-            apart=apart,
+            apart=partitioned,
         )
         self.budget.nodes = nodes
-        self.budget.partitioned = apart
+        self.budget.partitioned = partitioned
 
     def update_gauges(self) -> None:
         """Updates the gauges of nodes, relays, crashes and store calls."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/frames.py
@@ -32,9 +32,9 @@
     store sees that the digest differs and asks for them. Then the oldest
     prompts are left out.
     """
-    if report.knowledge is not None and not fits_datagram(report, sealer):
-        knowledge = msgspec.structs.replace(report.knowledge, changed=[])
-        report = msgspec.structs.replace(report, knowledge=knowledge)
+    if report.copy_state is not None and not fits_datagram(report, sealer):
+        copy_state = msgspec.structs.replace(report.copy_state, changed=[])
+        report = msgspec.structs.replace(report, copy_state=copy_state)
     while not fits_datagram(report, sealer) and report.updates.placements:
         placements = report.updates.placements[
             len(report.updates.placements) // 2 + 1 :
@@ -67,19 +67,19 @@
     """Splits a summary in two; returns [] if a half would be no smaller."""
     load_delta = split_load_delta(summary.load_delta)
     updates = split_updates(summary.updates)
-    knowledge = split_knowledge(summary.knowledge)
+    copy_state = split_copy_state(summary.copy_state)
     halves = [
         msgspec.structs.replace(
             summary,
             load_delta=load_delta[0],
             updates=updates[0],
-            knowledge=knowledge[0],
+            copy_state=copy_state[0],
         ),
         msgspec.structs.replace(
             summary,
             load_delta=load_delta[1],
             updates=updates[1],
-            knowledge=knowledge[1],
+            copy_state=copy_state[1],
         ),
     ]
     halves[0].members = []
@@ -146,14 +146,18 @@
     return messages.LoadDelta(*first), messages.LoadDelta(*second)
 
 
-def split_knowledge(
-    knowledge: messages.Knowledge | None,
-) -> tuple[messages.Knowledge | None, messages.Knowledge | None]:
-    """Splits store knowledge in two; both keep the offsets and the digest."""
-    if knowledge is None or not knowledge.changed:
-        return None, knowledge
-    middle = (len(knowledge.changed) + 1) // 2
+def split_copy_state(
+    copy_state: messages.CopyState | None,
+) -> tuple[messages.CopyState | None, messages.CopyState | None]:
+    """Splits the state of a store copy; both keep the offsets and digest."""
+    if copy_state is None or not copy_state.changed:
+        return None, copy_state
+    middle = (len(copy_state.changed) + 1) // 2
     return (
-        msgspec.structs.replace(knowledge, changed=knowledge.changed[:middle]),
-        msgspec.structs.replace(knowledge, changed=knowledge.changed[middle:]),
+        msgspec.structs.replace(
+            copy_state, changed=copy_state.changed[:middle]
+        ),
+        msgspec.structs.replace(
+            copy_state, changed=copy_state.changed[middle:]
+        ),
     )
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/gossip.py
@@ -64,7 +64,7 @@
 class Gossip(asyncio.DatagramProtocol):
     """Sends this node's loads and updates to its peers and receives theirs.
 
-    >>> gossip = Gossip(settings, store, homes, leadership, directory)
+    >>> gossip = Gossip(settings, store, router, leadership, directory)
     >>> await gossip.start()
     """
 
@@ -72,7 +72,7 @@
         self,
         settings: settings_module.Settings,
         store: store_module.Store,
-        homes: prefix_routing_module.PrefixRouter,
+        prefix_router: prefix_routing_module.PrefixRouter,
         leadership: leadership_module.Leadership,
         directory: directory_module.Directory,
         quarantine: quarantine_module.Quarantine,
@@ -92,7 +92,7 @@
         self.members = members_module.Members(own)
         self.relays = relays_module.Relays(self.members)
         self.relaying = relaying_module.Relaying(self.members)
-        self.loads = loads_module.Loads(homes, directory)
+        self.loads = loads_module.Loads(prefix_router, directory)
         self.outbox = outbox_module.Outbox()
         self.sealer = seals.Sealer(settings.peers.keys)
         self.sender = sending.Sender(self.members, self.sealer)
@@ -130,7 +130,9 @@
             directory,
             bandwidth.Bandwidth(link, bandwidth.SUMMARIES_SHARE),
         )
-        self.remote_state = remote_state_module.RemoteState(homes, directory)
+        self.remote_state = remote_state_module.RemoteState(
+            prefix_router, directory
+        )
         self.meshed = True
         self.relay_chosen = False
         self.resend_due = False
@@ -140,7 +142,7 @@
         self.announced_at = -math.inf
         self.changed = asyncio.Event()
         self.urgent = asyncio.Event()
-        homes.listener = self
+        prefix_router.listener = self
         directory.unreachable_listeners.append(self.report_unreachable)
         directory.removal_listeners.append(self.forget_replica)
 
@@ -187,9 +189,13 @@
             lambda: self, local_addr=(host, int(port))
         )
 
-    def sent(self, engine: str, links: list[int], tokens: list[int]) -> None:
+    def sent(
+        self, engine: str, prefix_hashes: list[int], tokens: list[int]
+    ) -> None:
         """Records that this node sent a prompt to an engine."""
-        self.outbox.add_placement(messages.Placement(engine, links, tokens))
+        self.outbox.add_placement(
+            messages.Placement(engine, prefix_hashes, tokens)
+        )
         self.changed.set()
 
     def report_unreachable(self, instance: str) -> None:
@@ -280,8 +286,8 @@
     def send_report(self, now: float) -> None:
         """Reports this node's loads to its relay or to every node."""
         if self.meshed:
-            knowledge = self.summaries.knowledge
-            self.reports.send_to_all(self.take_updates(now), knowledge, now)
+            store_copy = self.summaries.store_copy
+            self.reports.send_to_all(self.take_updates(now), store_copy, now)
             return
         choice = self.choice
         if choice.relay is None:
@@ -405,7 +411,7 @@
         if report.subscription_level == messages.SUBSCRIBE_NONE:
             if self.meshed:
                 self.loads.set_remote(member.name, report.loads, until)
-                self.receive_knowledge(member, report.knowledge, True)
+                self.receive_copy_state(member, report.copy_state, True)
             else:
                 self.relaying.add_mesh_node(member, now)
             self.remote_state.apply(report.updates, now)
@@ -429,8 +435,8 @@
     ) -> None:
         """Receives a relay's summary."""
         self.leave_mesh()
-        self.receive_knowledge(
-            member, summary.knowledge, summary.between_relays
+        self.receive_copy_state(
+            member, summary.copy_state, summary.between_relays
         )
         if summary.between_relays:
             self.receive_relay_summary(member, summary, now)
@@ -454,16 +460,16 @@
         )
         self.remote_state.apply(summary.updates, now)
 
-    def receive_knowledge(
+    def receive_copy_state(
         self,
         member: members_module.Member,
-        received: messages.Knowledge | None,
+        received: messages.CopyState | None,
         between_relays: bool,
     ) -> None:
-        """Receives what another node has read in the store."""
-        knowledge = self.summaries.knowledge
-        if received is not None and knowledge is not None:
-            knowledge.receive(received, member.address, between_relays)
+        """Receives the state of another node's copy of the store."""
+        store_copy = self.summaries.store_copy
+        if received is not None and store_copy is not None:
+            store_copy.receive(received, member.address, between_relays)
 
     def receive_relay_summary(
         self,
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/loads.py
@@ -78,46 +78,46 @@
 class Loads:
     """This node's work at engines and the work that others report.
 
-    >>> loads = Loads(homes, directory)
+    >>> loads = Loads(prefix_router, directory)
     >>> loads.own(now=0.0)
     EngineLoads(...)
     """
 
     def __init__(
         self,
-        homes: prefix_routing_module.PrefixRouter,
+        prefix_router: prefix_routing_module.PrefixRouter,
         directory: directory_module.Directory,
     ):
-        self.homes = homes
+        self.prefix_router = prefix_router
         self.directory = directory
 
     def totals_by_kind(self) -> tuple[cluster_totals.ClusterTotals, ...]:
         """The totals of each kind of work, in the order of `EngineLoads`."""
         return (
-            self.homes.waiting,
+            self.prefix_router.waiting,
             self.directory.streams,
-            self.homes.late,
-            self.homes.demand.node_totals,
+            self.prefix_router.late,
+            self.prefix_router.demand.node_totals,
         )
 
     def own(self, now: float) -> messages.EngineLoads:
         """Returns the work of this node alone."""
         return messages.EngineLoads(
-            rounded(self.homes.waiting.own),
+            rounded(self.prefix_router.waiting.own),
             rounded(self.directory.streams.own),
-            rounded(self.homes.late.own),
-            rounded(self.homes.demand.own(now)),
+            rounded(self.prefix_router.late.own),
+            rounded(self.prefix_router.demand.own(now)),
         )
 
     def site_totals(self, now: float) -> messages.EngineLoads:
         """Returns the work of all nodes of the site."""
-        demand = self.homes.demand.node_totals.totals(now)
-        for service, engines in self.homes.demand.own(now).items():
+        demand = self.prefix_router.demand.node_totals.totals(now)
+        for service, engines in self.prefix_router.demand.own(now).items():
             demand[service] = demand.get(service, 0.0) + engines
         return messages.EngineLoads(
-            self.homes.waiting.totals(now),
+            self.prefix_router.waiting.totals(now),
             self.directory.streams.totals(now),
-            self.homes.late.totals(now),
+            self.prefix_router.late.totals(now),
             demand,
         )
 
@@ -125,10 +125,10 @@
         self, source: str, loads: messages.EngineLoads, until: float
     ) -> None:
         """Replaces the loads reported by a source, valid until a time."""
-        self.homes.waiting.set_remote(source, loads.prompts, until)
+        self.prefix_router.waiting.set_remote(source, loads.prompts, until)
         self.directory.streams.set_remote(source, loads.streams, until)
-        self.homes.late.set_remote(source, loads.late, until)
-        self.homes.demand.set_remote(source, loads.demand, until)
+        self.prefix_router.late.set_remote(source, loads.late, until)
+        self.prefix_router.demand.set_remote(source, loads.demand, until)
 
     def drop(self, source: str) -> None:
         """Drops the loads reported by a source."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/messages.py
@@ -118,8 +118,8 @@
     value: bytes
 
 
-class Knowledge(msgspec.Struct, array_like=True):
-    """What the sender has read in the store, and how old that is.
+class CopyState(msgspec.Struct, array_like=True):
+    """State of the sender's copy of the store, and how old that is.
 
     Attributes:
         end: Offset up to which it has read the registrations.
@@ -192,8 +192,8 @@
             the `SUBSCRIBE_` constants.
         loads: The sender's own work at engines.
         updates: Events at the sender since its last report.
-        knowledge: What the sender has read in the store. Sent in a mesh only,
-            once a second and when it changes.
+        copy_state: State of the sender's copy of the store. Sent in a mesh
+            only, once a second and when it changes.
     """
 
     sender: Contact
@@ -201,7 +201,7 @@
     subscription_level: int
     loads: EngineLoads
     updates: Updates
-    knowledge: Knowledge | None = None
+    copy_state: CopyState | None = None
 
 
 class Summary(msgspec.Struct, array_like=True, tag=2):
@@ -216,7 +216,7 @@
             the whole site.
         load_delta: Changes in the work at engines.
         updates: Events at those nodes since the last summary.
-        knowledge: What the sender has read in the store.
+        copy_state: State of the sender's copy of the store.
         members: Highest ranked nodes of the sender's data centre.
         partitioned: Whether the rest of the site may count without these
             nodes.
@@ -228,7 +228,7 @@
     between_relays: bool
     load_delta: LoadDelta
     updates: Updates
-    knowledge: Knowledge | None = None
+    copy_state: CopyState | None = None
     members: list[Contact] = []
     partitioned: bool = False
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/remote_state.py
@@ -10,16 +10,16 @@
 class RemoteState:
     """Applies the updates of other nodes to routing and the directory.
 
-    >>> remote_state = RemoteState(homes, directory)
+    >>> remote_state = RemoteState(prefix_router, directory)
     >>> remote_state.apply(updates, now=0.0)
     """
 
     def __init__(
         self,
-        homes: prefix_routing_module.PrefixRouter,
+        prefix_router: prefix_routing_module.PrefixRouter,
         directory: directory_module.Directory,
     ):
-        self.homes = homes
+        self.prefix_router = prefix_router
         self.directory = directory
 
     def apply(self, updates: messages.Updates, now: float) -> None:
@@ -34,7 +34,7 @@
             if instance not in self.directory.suspects:
                 self.directory.request_probe(instance)
         for placed in updates.placements:
-            self.homes.add_remote_prompt(
+            self.prefix_router.add_remote_prompt(
                 placed.engine, placed.prefix_hashes, placed.tokens
             )
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/reports.py
@@ -12,10 +12,10 @@
 # Seconds until a report is in its relay's load totals: network delay, and the
 # wait for a busy processor.
 REPORT_DELAY_SECONDS = 0.015
-# Seconds after which a node of a mesh sends its store knowledge again; slightly
-# less than the time between two reports of an idle node, so that each of those
-# carries it.
-KNOWLEDGE_REFRESH_SECONDS = 0.9
+# Seconds after which a node of a mesh sends the state of its store copy again;
+# slightly less than the time between two reports of an idle node, so that each
+# of those carries it.
+COPY_STATE_REFRESH_SECONDS = 0.9
 
 
 class Reports:
@@ -40,16 +40,16 @@
         self.loads = loads
         self.sender = sender
         self.sent_loads: list[tuple[float, messages.EngineLoads]] = []
-        self.knowledge_sent_at = -math.inf
-        self.knowledge_sent_state = (0, 0)
+        self.copy_state_sent_at = -math.inf
+        self.sent_digest_and_version = (0, 0)
 
     def send_to_all(
         self,
         updates: messages.Updates,
-        knowledge: summaries.Knowledge | None,
+        store_copy: summaries.StoreCopy | None,
         now: float,
     ) -> None:
-        """Sends every node this one's loads and store knowledge.
+        """Sends every node this one's loads and the state of its store copy.
 
         Nodes that cannot reach the store learn by it which replicas leave.
         """
@@ -58,22 +58,26 @@
             messages.SUBSCRIBE_NONE,
             self.loads.own(now),
             updates,
-            self.knowledge_if_due(knowledge, now),
+            self.copy_state_if_due(store_copy, now),
         )
 
-    def knowledge_if_due(
-        self, knowledge: summaries.Knowledge | None, now: float
-    ) -> messages.Knowledge | None:
-        """Returns this node's store knowledge if it is to be sent now."""
-        found = knowledge.outgoing(True) if knowledge is not None else None
+    def copy_state_if_due(
+        self, store_copy: summaries.StoreCopy | None, now: float
+    ) -> messages.CopyState | None:
+        """Returns the state of the store copy if it must be sent now."""
+        found = store_copy.outgoing(True) if store_copy is not None else None
         if found is None:
             return None
         state = (found.digest, found.version)
-        due = now - self.knowledge_sent_at >= KNOWLEDGE_REFRESH_SECONDS
-        if not due and not found.changed and state == self.knowledge_sent_state:
+        due = now - self.copy_state_sent_at >= COPY_STATE_REFRESH_SECONDS
+        if (
+            not due
+            and not found.changed
+            and state == self.sent_digest_and_version
+        ):
             return None
-        self.knowledge_sent_at = now
-        self.knowledge_sent_state = state
+        self.copy_state_sent_at = now
+        self.sent_digest_and_version = state
         return found
 
     def send_to_relay(
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/sending.py
@@ -46,7 +46,7 @@
         level: int,
         loads: messages.EngineLoads,
         updates: messages.Updates,
-        knowledge: messages.Knowledge | None = None,
+        copy_state: messages.CopyState | None = None,
     ) -> None:
         """Sends a report; prompts that do not fit are left out."""
         if not receivers:
@@ -58,7 +58,7 @@
             level,
             loads,
             updates,
-            knowledge,
+            copy_state,
         )
         data = frames.encode_report(report, self.sealer)
         self.send("reports", data, receivers)
--- a/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/peers/summaries.py
@@ -17,26 +17,26 @@
 PLACEMENT_BYTES = 60
 
 
-class Knowledge(Protocol):
-    """What this node has read in the store."""
+class StoreCopy(Protocol):
+    """This node's copy of the store."""
 
-    def outgoing(self, between_relays: bool) -> messages.Knowledge | None:
+    def outgoing(self, between_relays: bool) -> messages.CopyState | None:
         """Returns what to send to subscribers, or to other relays."""
 
     def receive(
         self,
-        knowledge: messages.Knowledge,
+        copy_state: messages.CopyState,
         address: tuple[str, int],
         between_relays: bool,
     ) -> None:
-        """Applies what another node knows, and its address for queries."""
+        """Applies the state of another node's copy, at its query address."""
 
 
 class Summaries:
     """Creates and sends summaries.
 
     Attributes:
-        knowledge: What this node has read in the store.
+        store_copy: This node's copy of the store.
 
     >>> summaries = Summaries(relaying, loads, sender, directory, bandwidth)
     >>> due = relaying.due_subscribers(0.0)
@@ -56,7 +56,7 @@
         self.loads = loads
         self.sender = sender
         self.directory = directory
-        self.knowledge: Knowledge | None = None
+        self.store_copy: StoreCopy | None = None
         self.node_encoder = loads_module.new_encoder()
         self.relay_encoder = loads_module.new_encoder()
         self.summary_count = 0
@@ -86,7 +86,9 @@
             or self.summary_count % SUMMARIES_PER_INTRODUCTION == 0
         ):
             introduced = self.sender.top_ranked_contacts()
-        knowledge = self.knowledge.outgoing(False) if self.knowledge else None
+        copy_state = (
+            self.store_copy.outgoing(False) if self.store_copy else None
+        )
         if due.heartbeats:
             sign = messages.Summary(
                 self.sender.own_contact(),
@@ -95,7 +97,7 @@
                 False,
                 messages.LoadDelta(),
                 messages.Updates(),
-                knowledge,
+                copy_state,
                 introduced,
                 partitioned,
             )
@@ -113,7 +115,7 @@
                 self.relaying.node_outbox.take(
                     now, self.max_placements(len(due.full), now)
                 ),
-                knowledge,
+                copy_state,
                 introduced,
                 partitioned,
             )
@@ -138,7 +140,7 @@
                 now, self.max_placements(len(targets), now)
             ),
             # A relay that cannot reach the store gets its contents by this.
-            self.knowledge.outgoing(True) if self.knowledge else None,
+            self.store_copy.outgoing(True) if self.store_copy else None,
         )
         self.send(summary, targets, now)
 
--- a/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/store_copy.py
@@ -24,7 +24,7 @@
 
 # Seconds between two requests to a peer for all registrations. If the answer
 # doesn't resolve the difference, the store is read.
-QUESTION_INTERVAL_SECONDS = 1.0
+QUERY_INTERVAL_SECONDS = 1.0
 ENCODER = msgspec.msgpack.Encoder()
 
 
@@ -34,13 +34,14 @@
     Attributes:
         newer_peer: Address of a node with a newer configuration.
         differing_peer: Address of a node with other registrations.
-        next_question_at: Earliest time to ask a peer for all registrations.
+        next_query_at: Earliest time to ask a peer for all registrations.
         fetch_needed: Set when a peer may have to be asked.
         was_stale: Whether the registrations were stale at the last check.
 
     >>> copy = StoreCopy(
     ...     registrations, configurations, watches[0], watches[1],
-    ...     gossip.reads, questions, read_timeouts.derive(contact=3.0)
+    ...     gossip.is_store_reader, query_client,
+    ...     read_timeouts.derive(contact=3.0)
     ... )
     >>> copy.should_read_registrations()
     True
@@ -53,7 +54,7 @@
         registrations_watch: topic_watches.TopicWatch,
         configuration_watch: topic_watches.TopicWatch,
         is_reader: Callable[[], bool],
-        questions: queries_module.QueryClient,
+        query_client: queries_module.QueryClient,
         read_timeouts: read_timeouts_module.ReadTimeouts,
     ):
         self.read_timeouts = read_timeouts
@@ -62,10 +63,10 @@
         self.registrations_watch = registrations_watch
         self.configuration_watch = configuration_watch
         self.is_reader = is_reader
-        self.questions = questions
+        self.query_client = query_client
         self.newer_peer: tuple[str, int] | None = None
         self.differing_peer: tuple[str, int] | None = None
-        self.next_question_at = -math.inf
+        self.next_query_at = -math.inf
         self.fetch_needed = asyncio.Event()
         self.was_stale = False
         for watch in (registrations_watch, configuration_watch):
@@ -112,8 +113,8 @@
         longest = topic_staleness.MAX_AGE_FRACTION * watch.staleness.bound
         return now - self.registrations_watch.direct_read_at < longest < age
 
-    def outgoing(self, between_relays: bool) -> messages.Knowledge | None:
-        """Returns the summary for other nodes; None before the first read.
+    def outgoing(self, between_relays: bool) -> messages.CopyState | None:
+        """Returns the state for other nodes; None before the first read.
 
         Args:
             between_relays: Whether it is sent to other relays, which also send
@@ -128,7 +129,7 @@
         changed = []
         for change in registry.changes(now):
             changed.append(messages.ChangedRegistration(*change))
-        return messages.Knowledge(
+        return messages.CopyState(
             registrations.position,
             sent_age(registrations.staleness, now, between_relays),
             registry.digest,
@@ -141,14 +142,14 @@
 
     def receive(
         self,
-        knowledge: messages.Knowledge,
+        copy_state: messages.CopyState,
         address: tuple[str, int],
         between_relays: bool,
     ) -> None:
-        """Applies a relay's summary of its copy.
+        """Applies the state of a relay's copy.
 
         Args:
-            knowledge: The summary.
+            copy_state: State of the relay's copy.
             address: The relay's address for requests.
             between_relays: Whether it came from another relay, which sends
                 only what it has read itself.
@@ -158,35 +159,35 @@
         if not watch.has_read_all:
             return
         changes = []
-        for changed in knowledge.changed:
+        for changed in copy_state.changed:
             changes.append(
                 registry_module.Change(
                     changed.key, changed.offset, changed.value
                 )
             )
-        if knowledge.grace <= 0:
+        if copy_state.grace <= 0:
             self.registrations.state.confirm_relayed(between_relays)
-        self.registrations.merge(changes, knowledge.grace)
-        if self.registrations.registry.digest == knowledge.digest:
-            watch.confirm_relayed(knowledge.end, now - knowledge.age)
-        elif knowledge.end >= watch.position:
+        self.registrations.merge(changes, copy_state.grace)
+        if self.registrations.registry.digest == copy_state.digest:
+            watch.confirm_relayed(copy_state.end, now - copy_state.age)
+        elif copy_state.end >= watch.position:
             watch.staleness.record_difference(now)
-            if watch.staleness.differs(now) and now >= self.next_question_at:
-                self.next_question_at = now + QUESTION_INTERVAL_SECONDS
+            if watch.staleness.differs(now) and now >= self.next_query_at:
+                self.next_query_at = now + QUERY_INTERVAL_SECONDS
                 self.differing_peer = address
                 self.fetch_needed.set()
-        self.receive_configuration(knowledge, address, now)
+        self.receive_configuration(copy_state, address, now)
 
     def receive_configuration(
         self,
-        knowledge: messages.Knowledge,
+        copy_state: messages.CopyState,
         address: tuple[str, int],
         now: float,
     ) -> None:
         """Compares a relay's configuration version with this node's."""
-        self.configurations.announce(knowledge.version)
+        self.configurations.announce(copy_state.version)
         version = self.configurations.version()
-        if version < knowledge.version:
+        if version < copy_state.version:
             self.newer_peer = address
             self.configuration_watch.wake.set()
             self.configuration_watch.cancel_overdue_read(
@@ -194,9 +195,9 @@
                 self.read_timeouts.overdue_after,
             )
             self.fetch_needed.set()
-        elif version == knowledge.version:
+        elif version == copy_state.version:
             self.configuration_watch.confirm_relayed(
-                knowledge.version_end, now - knowledge.version_age
+                copy_state.version_end, now - copy_state.version_age
             )
 
     def is_behind(self) -> bool:
@@ -235,7 +236,7 @@
             < self.read_timeouts.ask_after
         ):
             return
-        record = await self.questions.fetch(
+        record = await self.query_client.fetch(
             self.newer_peer, queries_module.CONFIGURATION
         )
         self.configurations.offer(record, "peer")
@@ -253,7 +254,9 @@
         address, self.differing_peer = self.differing_peer, None
         if address is None:
             return
-        body = await self.questions.fetch(address, queries_module.REGISTRATIONS)
+        body = await self.query_client.fetch(
+            address, queries_module.REGISTRATIONS
+        )
         found = queries_module.REGISTRATIONS_DECODER.decode(body)
         changes = []
         for entry in found.entries:
