--- a/features/support/prompt_load.py
+++ b/features/support/prompt_load.py
@@ -91,9 +91,11 @@
         self.play = play
         self.node = node
 
-    def sent(self, engine: str, links: list[int], tokens: list[int]) -> None:
+    def sent(
+        self, engine: str, prefix_hashes: list[int], tokens: list[int]
+    ) -> None:
         """A prompt goes to an engine."""
-        self.play.tell(self.node, (engine, links, tokens))
+        self.play.tell(self.node, (engine, prefix_hashes, tokens))
 
     def done(self) -> None:
         """An engine is done with a prompt."""
--- a/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
+++ b/packages/gypsumfold/src/gypsumfold/gateway/gateway.py
@@ -380,17 +380,17 @@
     def share_retries(self) -> None:
         """Divides the site's retry budget by the number of known nodes."""
         nodes = self.gossip.sharing_node_count()
-        partitioned = self.gossip.is_partitioned()
-        if (nodes, partitioned) == (self.budget.nodes, self.budget.partitioned):
+        apart = self.gossip.is_partitioned()
+        if (nodes, apart) == (self.budget.nodes, self.budget.partitioned):
             return
         events.log(
             events.RETRIES_SHARED,
             nodes=nodes,
             before=self.budget.nodes,
-            apart=partitioned,
+            apart=apart,
         )
         self.budget.nodes = nodes
-        self.budget.partitioned = partitioned
+        self.budget.partitioned = apart
 
     def update_gauges(self) -> None:
         """Updates the gauges of nodes, relays, crashes and store calls."""
